--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# build: the program; test: unit and integration tests; lint: style; run: one gateway from RELAY_CONFIG.
-.PHONY: build test lint run docs demo conformance bench soak regress site-files clean
+# build: the program; test: unit and integration tests; lint: style; format: sources; run: one gateway from RELAY_CONFIG.
+.PHONY: build test lint format run docs demo conformance bench soak regress site-files clean
 
 build:
 	mvn -q -DskipTests package
@@ -11,6 +11,10 @@
 lint:
 	mvn -q -DskipTests verify
 
+# Formats the sources; lint and test check that nothing is left to format.
+format:
+	mvn -q spotless:apply
+
 run: build
 	exec java -jar target/dunlinladder.jar serve
 
--- a/src/test/java/dunlinladder/wire/sim/HostTest.java
+++ b/src/test/java/dunlinladder/wire/sim/HostTest.java
@@ -60,7 +60,8 @@
     @Test
     void restartWithinABatchForgetsEverything() throws Exception {
         String out = run(batch(1, open(0) + job(0, "t/x")) + batch(2, "{\"Detach\":{\"i\":0}}\n" + open(0)
-                + "{\"Returned\":{\"i\":0,\"id\":\"t/x\",\"go\":0,\"worker\":\"a:1\",\"outcome\":210}}\n"));
+                + "{\"Returned\":{\"i\":0,\"id\":\"t/x\","
+                + "\"go\":0,\"worker\":\"a:1\",\"outcome\":210}}\n"));
         assertTrue(out.endsWith("{\"End\":{\"turn\":1}}\n{\"End\":{\"turn\":2}}\n"), out);
     }
 
