--- a/src/bench/java/dunlinladder/bench/TranslationBench.java
+++ b/src/bench/java/dunlinladder/bench/TranslationBench.java
@@ -38,12 +38,12 @@
     @State(Scope.Benchmark)
     public static class Request {
         /** From one format to another. */
-        @Param({"CHAT RESPONSES", "RESPONSES CHAT", "CHAT MESSAGES", "MESSAGES CHAT",
-                "COMPLETIONS RESPONSES"})
+        @Param({"CHAT RESPONSES", "RESPONSES CHAT", "CHAT MESSAGES", "MESSAGES CHAT", "COMPLETIONS RESPONSES"})
         public String pair;
         /** Kilobytes of text. */
         @Param({"1", "32", "250"})
         public int kilobytes;
+
         private Format from;
         private Format to;
         private byte[] body;
@@ -57,11 +57,10 @@
             String talk = switch (from) {
                 case COMPLETIONS -> "\"prompt\":\"" + text + "\"";
                 case RESPONSES -> "\"input\":\"" + text + "\"";
-                default -> "\"messages\":[{\"role\":\"user\",\"content\":\"" + text
-                        + "\"}],\"max_tokens\":50";
+                default -> "\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}],\"max_tokens\":50";
             };
-            body = ("{\"model\":\"m\",\"stream\":true,\"temperature\":0.5," + talk + "}").getBytes(
-                    StandardCharsets.UTF_8);
+            body = ("{\"model\":\"m\",\"stream\":true,\"temperature\":0.5," + talk + "}")
+                    .getBytes(StandardCharsets.UTF_8);
         }
     }
 
@@ -69,11 +68,22 @@
     @State(Scope.Benchmark)
     public static class Answer {
         /** From one format to another. */
-        @Param({"COMPLETIONS CHAT", "COMPLETIONS RESPONSES", "COMPLETIONS MESSAGES", "CHAT COMPLETIONS",
-            "CHAT RESPONSES", "CHAT MESSAGES", "RESPONSES COMPLETIONS", "RESPONSES CHAT",
-                    "RESPONSES MESSAGES",
-            "MESSAGES COMPLETIONS", "MESSAGES CHAT", "MESSAGES RESPONSES"})
+        @Param({
+            "COMPLETIONS CHAT",
+            "COMPLETIONS RESPONSES",
+            "COMPLETIONS MESSAGES",
+            "CHAT COMPLETIONS",
+            "CHAT RESPONSES",
+            "CHAT MESSAGES",
+            "RESPONSES COMPLETIONS",
+            "RESPONSES CHAT",
+            "RESPONSES MESSAGES",
+            "MESSAGES COMPLETIONS",
+            "MESSAGES CHAT",
+            "MESSAGES RESPONSES"
+        })
         public String pair;
+
         private Format from;
         private Format to;
         private byte[] stream;
@@ -104,9 +114,15 @@
     /** A request's bytes in, the other format's bytes out. */
     @Benchmark
     public int request(Request request) {
-        return Requests.write(request.to, Requests.read(request.from, Pieces.body(request.body),
-                Requests.Unknown.PASS, new ArrayList<>()), 800, new ArrayList<>()).toString()
-                .getBytes(StandardCharsets.UTF_8).length;
+        return Requests.write(
+                        request.to,
+                        Requests.read(
+                                request.from, Pieces.body(request.body), Requests.Unknown.PASS, new ArrayList<>()),
+                        800,
+                        new ArrayList<>())
+                .toString()
+                .getBytes(StandardCharsets.UTF_8)
+                .length;
     }
 
     /** One event of an answer; its opening and end are shared out. */
@@ -115,8 +131,8 @@
     public int event(Answer answer) {
         Translation translation = new Translation(answer.from, answer.to, identity(), true);
         int[] length = {0};
-        translation.stream(ByteBuffer.wrap(answer.stream), text -> length[0] += text.getBytes(
-                StandardCharsets.UTF_8).length);
+        translation.stream(
+                ByteBuffer.wrap(answer.stream), text -> length[0] += text.getBytes(StandardCharsets.UTF_8).length);
         translation.end(text -> length[0] += text.length());
         if (!translation.whole()) {
             throw new IllegalStateException("not whole: " + translation.fault());
--- a/src/main/java/dunlinladder/core/Client.java
+++ b/src/main/java/dunlinladder/core/Client.java
@@ -4,14 +4,14 @@
 import java.util.function.IntConsumer;
 
 /**
- * Port to the client's side of a request. Exactly one of {@code end}, {@code cut}, {@code refuse} and
- * {@code fail} is called, once; {@code data} only before {@code end} or {@code cut}.
+ * Port to the client's side of a request. Exactly one of {@code end}, {@code cut}, {@code refuse} and {@code fail} is
+ * called, once; {@code data} only before {@code end} or {@code cut}.
  */
 public interface Client {
 
     /**
-     * Passes on a piece of the engine's stream; the first one starts the answer. {@code taken} is told how
-     * many bytes were written to the client, for back-pressure.
+     * Passes on a piece of the engine's stream; the first one starts the answer. {@code taken} is told how many bytes
+     * were written to the client, for back-pressure.
      */
     void data(ByteBuffer piece, IntConsumer taken);
 
@@ -28,5 +28,10 @@
     void fail(Failure why);
 
     /** What a failure was about. */
-    enum Failure { ENGINE, TIMEOUT, INTERNAL, REQUEST }
+    enum Failure {
+        ENGINE,
+        TIMEOUT,
+        INTERNAL,
+        REQUEST
+    }
 }
--- a/src/main/java/dunlinladder/core/Clock.java
+++ b/src/main/java/dunlinladder/core/Clock.java
@@ -1,8 +1,8 @@
 package dunlinladder.core;
 
 /**
- * Seconds that never run backwards, counted so that they equal Unix time at the start: what other machines
- * state as wall-clock time (an engine's start) then compares with them directly.
+ * Seconds that never run backwards, counted so that they equal Unix time at the start: what other machines state as
+ * wall-clock time (an engine's start) then compares with them directly.
  */
 public final class Clock {
 
--- a/src/main/java/dunlinladder/core/Decider.java
+++ b/src/main/java/dunlinladder/core/Decider.java
@@ -21,5 +21,9 @@
     void list(Scope scope, List<Engine> engines);
 
     /** The extent of a list: as last held and maybe stale, all, or what has changed. */
-    enum Scope { CACHED, COMPLETE, CHANGES }
+    enum Scope {
+        CACHED,
+        COMPLETE,
+        CHANGES
+    }
 }
--- a/src/main/java/dunlinladder/core/Dispatcher.java
+++ b/src/main/java/dunlinladder/core/Dispatcher.java
@@ -37,6 +37,7 @@
         final Client client;
         /** Clock time at which it was taken. */
         final double takenAt;
+
         EngineCalls.Call call;
         boolean gone;
 
@@ -66,8 +67,14 @@
     }
 
     /** Creates a dispatcher that drives each request on a thread of {@code pool}. */
-    public Dispatcher(Decider decider, Engines engines, EngineCalls calls, Executor pool, Clock clock,
-            Limits limits, Policy policy) {
+    public Dispatcher(
+            Decider decider,
+            Engines engines,
+            EngineCalls calls,
+            Executor pool,
+            Clock clock,
+            Limits limits,
+            Policy policy) {
         this.decider = decider;
         this.engines = engines;
         this.calls = calls;
@@ -138,8 +145,11 @@
                 if (step instanceof Step.Refuse refuse) {
                     refuse(entry, trail, refuse);
                 } else if (step instanceof Step.Fail) {
-                    LOG.debug("event=failed request={} class={} attempts={}", request.id(),
-                            request.serviceClass(), trail);
+                    LOG.debug(
+                            "event=failed request={} class={} attempts={}",
+                            request.id(),
+                            request.serviceClass(),
+                            trail);
                     entry.client.fail(why(trail));
                 }
                 return;
@@ -157,25 +167,28 @@
     }
 
     /**
-     * A refusal promises that asking again is harmless. It passes here alone, and only where the facts of
-     * all attempts bear it out: else the request has failed, whatever the decisions made of it.
+     * A refusal promises that asking again is harmless. It passes here alone, and only where the facts of all attempts
+     * bear it out: else the request has failed, whatever the decisions made of it.
      */
     private void refuse(Held entry, Trail trail, Step.Refuse refuse) {
         Request request = entry.request;
         if (spent(request, trail)) {
-            LOG.error("event=refusal_forbidden request={} class={} attempts={}", request.id(),
-                    request.serviceClass(), trail);
+            LOG.error(
+                    "event=refusal_forbidden request={} class={} attempts={}",
+                    request.id(),
+                    request.serviceClass(),
+                    trail);
             entry.client.fail(why(trail));
         } else {
-            LOG.debug("event=refused request={} class={} attempts={}", request.id(), request.serviceClass(),
-                    trail);
+            LOG.debug("event=refused request={} class={} attempts={}", request.id(), request.serviceClass(), trail);
             entry.client.refuse(refuse.retryAfter());
         }
     }
 
     private static Client.Failure why(Trail trail) {
         return trail.last() != null && trail.last().ending() != Outcome.Ending.TIMEOUT
-                ? Client.Failure.ENGINE : Client.Failure.TIMEOUT;
+                ? Client.Failure.ENGINE
+                : Client.Failure.TIMEOUT;
     }
 
     /** Makes one attempt; true when the request is over with it. */
@@ -185,15 +198,22 @@
         // A client that hears nothing by its deadline asks again elsewhere: the answer must be there before.
         double latest = request.deadline() - limits.answerSeconds();
         double until = send.timeout() > 0 ? Math.min(latest, clock.now() + send.timeout()) : latest;
-        Attempt attempt = new Attempt(request, trail.size(), engine != null ? engine : new Engine(
-                send.engine(), "", 0, 0, 0, Engine.State.LEFT, 0, 0), until, effect(engine));
+        Attempt attempt = new Attempt(
+                request,
+                trail.size(),
+                engine != null ? engine : new Engine(send.engine(), "", 0, 0, 0, Engine.State.LEFT, 0, 0),
+                until,
+                effect(engine));
         boolean forbidden = spent(request, trail) && attempt.effect();
         double sentAt = clock.now();
         trail.sent(attempt, sentAt);
         if (forbidden) {
             // Whatever the decisions went by, the facts say that it would run a second time.
-            LOG.error("event=send_forbidden request={} class={} attempts={}", request.id(),
-                    request.serviceClass(), trail);
+            LOG.error(
+                    "event=send_forbidden request={} class={} attempts={}",
+                    request.id(),
+                    request.serviceClass(),
+                    trail);
         }
         if (engine == null || forbidden || entry.gone()) {
             // Without an engine, because the list lost it since the decision; or the client left since then.
@@ -218,13 +238,22 @@
         trail.ended(outcome, endedAt);
         if (LOG.isDebugEnabled()) {
             // What is needed to count across a fleet; deploy/fleet-counts.py reads it.
-            LOG.debug("event=attempt request={} class={} attempt={} engine={} reads={} age={} outcome={} "
-                    + "seconds={} since={} first={} prompt={} prefix={} kept={}", request.id(),
-                    request.serviceClass(), attempt.number(), engine.id(), !attempt.effect(),
+            LOG.debug(
+                    "event=attempt request={} class={} attempt={} engine={} reads={} age={} outcome={} "
+                            + "seconds={} since={} first={} prompt={} prefix={} kept={}",
+                    request.id(),
+                    request.serviceClass(),
+                    attempt.number(),
+                    engine.id(),
+                    !attempt.effect(),
                     engine.startedAt() > 0 ? (long) (endedAt - engine.startedAt()) : "long",
-                    outcome.ending(), Seconds.text(endedAt - sentAt), Seconds.text(sentAt - entry.takenAt),
-                    begun[0] ? Seconds.text(firstAt[0] - entry.takenAt) : "-", (long) request.promptTokens(),
-                    (long) request.prefixTokens(), (long) outcome.note());
+                    outcome.ending(),
+                    Seconds.text(endedAt - sentAt),
+                    Seconds.text(sentAt - entry.takenAt),
+                    begun[0] ? Seconds.text(firstAt[0] - entry.takenAt) : "-",
+                    (long) request.promptTokens(),
+                    (long) request.prefixTokens(),
+                    (long) outcome.note());
         }
         boolean ok = outcome.ending() == Outcome.Ending.OK;
         boolean rejected = outcome.ending() == Outcome.Ending.REJECTED;
--- a/src/main/java/dunlinladder/core/Engines.java
+++ b/src/main/java/dunlinladder/core/Engines.java
@@ -31,7 +31,8 @@
     /** Whether new work may go to that engine, where it was reached when the work was decided, now. */
     public boolean accepts(Engine engine) {
         Engine listed = byId.get(engine.id());
-        return listed != null && listed.state() == Engine.State.ACTIVE
+        return listed != null
+                && listed.state() == Engine.State.ACTIVE
                 && listed.address().equals(engine.address());
     }
 
--- a/src/main/java/dunlinladder/core/Gate.java
+++ b/src/main/java/dunlinladder/core/Gate.java
@@ -4,9 +4,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The last look at the engine list before a send's first byte. What was decided before news of a drain, and
- * has waited since for a thread, a connection or a core, stops here; so does what would otherwise overtake
- * news that has arrived but has not been read.
+ * The last look at the engine list before a send's first byte. What was decided before news of a drain, and has waited
+ * since for a thread, a connection or a core, stops here; so does what would otherwise overtake news that has arrived
+ * but has not been read.
  */
 public final class Gate {
 
--- a/src/main/java/dunlinladder/core/Seconds.java
+++ b/src/main/java/dunlinladder/core/Seconds.java
@@ -3,8 +3,7 @@
 /** Times as headers and the log state them. */
 public final class Seconds {
 
-    private Seconds() {
-    }
+    private Seconds() {}
 
     /** Seconds with three decimals, without a sign; a formatter would take its first caller some 20 ms. */
     public static String text(double seconds) {
--- a/src/main/java/dunlinladder/core/Step.java
+++ b/src/main/java/dunlinladder/core/Step.java
@@ -4,14 +4,14 @@
 public sealed interface Step {
 
     /** Send it to an engine; {@code timeout} is in seconds, 0 for as long as the client waits. */
-    record Send(String engine, double timeout) implements Step { }
+    record Send(String engine, double timeout) implements Step {}
 
     /** Refuse it: trying again is harmless. {@code retryAfter} is in seconds, 0 for no advice. */
-    record Refuse(double retryAfter) implements Step { }
+    record Refuse(double retryAfter) implements Step {}
 
     /** Fail it, with no promise. */
-    record Fail() implements Step { }
+    record Fail() implements Step {}
 
     /** The client has left; nothing is owed any more. */
-    record Drop() implements Step { }
+    record Drop() implements Step {}
 }
--- a/src/main/java/dunlinladder/core/Trail.java
+++ b/src/main/java/dunlinladder/core/Trail.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * What is certain of one request's attempts, as facts of the moment at which each was sent and of how it
- * ended. Whether the request may have run is told from here alone: not from the list, which may have lost the
- * engine meanwhile, nor from the decisions, which go by what is likely.
+ * What is certain of one request's attempts, as facts of the moment at which each was sent and of how it ended. Whether
+ * the request may have run is told from here alone: not from the list, which may have lost the engine meanwhile, nor
+ * from the decisions, which go by what is likely.
  *
  * <p>Used by one thread at a time.
  */
@@ -63,11 +63,17 @@
     public String toString() {
         StringBuilder text = new StringBuilder("[");
         for (Entry entry : entries) {
-            text.append(text.length() > 1 ? "; " : "").append(entry.attempt.number()).append(" at ")
-                    .append(entry.attempt.engine().id()).append(entry.attempt.effect() ? "" : " reads")
-                    .append(' ').append(Seconds.text(entry.sentAt - entries.get(0).sentAt)).append('-')
+            text.append(text.length() > 1 ? "; " : "")
+                    .append(entry.attempt.number())
+                    .append(" at ")
+                    .append(entry.attempt.engine().id())
+                    .append(entry.attempt.effect() ? "" : " reads")
+                    .append(' ')
+                    .append(Seconds.text(entry.sentAt - entries.get(0).sentAt))
+                    .append('-')
                     .append(Seconds.text(Math.max(entry.sentAt, entry.endedAt) - entries.get(0).sentAt))
-                    .append(' ').append(entry.outcome == null ? "out" : entry.outcome.ending());
+                    .append(' ')
+                    .append(entry.outcome == null ? "out" : entry.outcome.ending());
         }
         return text.append(']').toString();
     }
--- a/src/main/java/dunlinladder/decision/Attempt.java
+++ b/src/main/java/dunlinladder/decision/Attempt.java
@@ -3,7 +3,11 @@
 /** One send of a request that is out. Plain state. */
 final class Attempt {
     /** What the server is to do with the request. */
-    enum Stage { READ, WRITE, WHOLE }
+    enum Stage {
+        READ,
+        WRITE,
+        WHOLE
+    }
 
     final Job job;
     final int number;
@@ -16,9 +20,11 @@
     double ahead;
     /** Whether this router had sent the server the same beginning, or the session, not long before. */
     boolean prefixSent;
+
     boolean sessionSent;
     /** How much longer than a plain request it should take. */
     double size = 1;
+
     double weight;
     double held;
     double firstAt = Double.NaN;
--- a/src/main/java/dunlinladder/decision/Decisions.java
+++ b/src/main/java/dunlinladder/decision/Decisions.java
@@ -23,11 +23,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The decision module in blocking style: {@code pick} waits for a request's next step, the other calls
- * report, {@code tick} runs timers. Events and actions stay inside.
+ * The decision module in blocking style: {@code pick} waits for a request's next step, the other calls report,
+ * {@code tick} runs timers. Events and actions stay inside.
  *
- * <p>One lock guards everything. The clock is read while it is held: read before, a thread that waited for
- * the lock would hand the module a time that lies behind one it has already seen.
+ * <p>One lock guards everything. The clock is read while it is held: read before, a thread that waited for the lock
+ * would hand the module a time that lies behind one it has already seen.
  */
 public final class Decisions implements Decider {
 
@@ -64,14 +64,19 @@
         boolean in;
     }
 
-    private record Due(double at, long token) { }
+    private record Due(double at, long token) {}
 
     /**
-     * Creates the decisions of one gateway; {@code releases} is told ids whose held state is let go,
-     * {@code lag} gives the seconds by which this process is behind; over {@code mostLag} requests wait.
+     * Creates the decisions of one gateway; {@code releases} is told ids whose held state is let go, {@code lag} gives
+     * the seconds by which this process is behind; over {@code mostLag} requests wait.
      */
-    public Decisions(Router.Settings settings, long seed, Clock clock, Consumer<String> releases,
-            DoubleSupplier lag, double mostLag) {
+    public Decisions(
+            Router.Settings settings,
+            long seed,
+            Clock clock,
+            Consumer<String> releases,
+            DoubleSupplier lag,
+            double mostLag) {
         this.settings = settings;
         this.lag = lag;
         this.intake = new Intake<>(mostLag);
@@ -93,10 +98,20 @@
                     owed.remove(request.id());
                     return instead;
                 }
-                tell(new Router.Arrival(new Router.Request(request.id(), request.serviceClass(),
-                        request.tenant(), request.session(), request.deadline(), 0, request.prefix(),
-                        request.promptTokens(), request.prefixTokens(), request.maxOut(), request.retry(),
-                        request.returned(), request.fits())));
+                tell(new Router.Arrival(new Router.Request(
+                        request.id(),
+                        request.serviceClass(),
+                        request.tenant(),
+                        request.session(),
+                        request.deadline(),
+                        0,
+                        request.prefix(),
+                        request.promptTokens(),
+                        request.prefixTokens(),
+                        request.maxOut(),
+                        request.retry(),
+                        request.returned(),
+                        request.fits())));
             }
             while (entry.steps.isEmpty() && !entry.gone) {
                 entry.ready.await();
@@ -104,8 +119,8 @@
             Step step = entry.gone ? new Step.Drop() : entry.steps.poll();
             if (entry.gone && entry.steps.peek() instanceof Step.Send unsent) {
                 // Decided but never made: the module would count it as out at that engine for good.
-                tell(new Router.Outcome(request.id(), entry.sends - 1, unsent.engine(), Router.Status.MOOT, 0,
-                        true, 0, Map.of()));
+                tell(new Router.Outcome(
+                        request.id(), entry.sends - 1, unsent.engine(), Router.Status.MOOT, 0, true, 0, Map.of()));
             }
             if (!(step instanceof Step.Send)) {
                 owed.remove(request.id());
@@ -123,8 +138,8 @@
             return null;
         }
         double now = clock.now();
-        double until = now + Math.min(settings.classes().get(request.serviceClass()).aim(),
-                request.deadline() - now) * WAIT_SHARE;
+        double until = now
+                + Math.min(settings.classes().get(request.serviceClass()).aim(), request.deadline() - now) * WAIT_SHARE;
         intake.add(entry);
         while (!entry.in && !entry.gone && clock.now() < until) {
             entry.ready.awaitNanos((long) ((until - clock.now()) * 1e9) + 1);
@@ -148,8 +163,7 @@
                 entry.ready.signal();
             }
             if (waited > 0 && clock.now() - toldAt > TELL_EVERY) {
-                LOG.warn("event=behind waited={} given_up={} lag={}", waited, givenUp,
-                        Seconds.text(longestLag));
+                LOG.warn("event=behind waited={} given_up={} lag={}", waited, givenUp, Seconds.text(longestLag));
                 toldAt = clock.now();
                 waited = 0;
                 givenUp = 0;
@@ -164,7 +178,10 @@
     public void firstToken(Attempt attempt) {
         lock.lock();
         try {
-            tell(new Router.FirstToken(attempt.request().id(), attempt.number(), attempt.engine().id(),
+            tell(new Router.FirstToken(
+                    attempt.request().id(),
+                    attempt.number(),
+                    attempt.engine().id(),
                     elapsed(owed.get(attempt.request().id()))));
         } finally {
             lock.unlock();
@@ -175,9 +192,18 @@
     public void ended(Attempt attempt, Outcome outcome, boolean last) {
         lock.lock();
         try {
-            Owed entry = last ? owed.remove(attempt.request().id()) : owed.get(attempt.request().id());
-            tell(new Router.Outcome(attempt.request().id(), attempt.number(), attempt.engine().id(),
-                    status(outcome.ending()), elapsed(entry), last, outcome.note(), outcome.report()));
+            Owed entry = last
+                    ? owed.remove(attempt.request().id())
+                    : owed.get(attempt.request().id());
+            tell(new Router.Outcome(
+                    attempt.request().id(),
+                    attempt.number(),
+                    attempt.engine().id(),
+                    status(outcome.ending()),
+                    elapsed(entry),
+                    last,
+                    outcome.note(),
+                    outcome.report()));
         } finally {
             lock.unlock();
         }
@@ -202,8 +228,16 @@
 
     @Override
     public void list(Scope scope, List<Engine> engines) {
-        List<Router.Member> members = engines.stream().map(e -> new Router.Member(e.id(), e.zone(), e.kind(),
-                e.cell(), Router.Lifecycle.valueOf(e.state().name()), e.weight(), e.startedAt())).toList();
+        List<Router.Member> members = engines.stream()
+                .map(e -> new Router.Member(
+                        e.id(),
+                        e.zone(),
+                        e.kind(),
+                        e.cell(),
+                        Router.Lifecycle.valueOf(e.state().name()),
+                        e.weight(),
+                        e.startedAt()))
+                .toList();
         lock.lock();
         try {
             tell(new Router.Members(Router.Scope.valueOf(scope.name()), members));
@@ -251,7 +285,8 @@
             actions = event instanceof Router.Arrival arrival
                     ? List.of(new Router.Fail(arrival.request().id()))
                     : event instanceof Router.Outcome ended && !ended.closed()
-                    ? List.of(new Router.Fail(ended.id())) : List.of();
+                            ? List.of(new Router.Fail(ended.id()))
+                            : List.of();
         }
         for (Router.Action action : actions) {
             if (action instanceof Router.Send send) {
--- a/src/main/java/dunlinladder/decision/Intake.java
+++ b/src/main/java/dunlinladder/decision/Intake.java
@@ -4,11 +4,11 @@
 import java.util.Queue;
 
 /**
- * Lets requests in no faster than this process can follow them. A gateway that is short of processor time
- * hears late of what engines have done: what they then hold for it waits too long, and the end of a stream
- * comes late to its client. More requests make both worse, and so do refusals, as clients ask again at once.
- * So while the process is behind, requests wait before anything is done for them; as it catches up they are
- * let in, one at first, then twice as many at each look.
+ * Lets requests in no faster than this process can follow them. A gateway that is short of processor time hears late of
+ * what engines have done: what they then hold for it waits too long, and the end of a stream comes late to its client.
+ * More requests make both worse, and so do refusals, as clients ask again at once. So while the process is behind,
+ * requests wait before anything is done for them; as it catches up they are let in, one at first, then twice as many at
+ * each look.
  *
  * @param <T> what waits
  */
--- a/src/main/java/dunlinladder/decision/Job.java
+++ b/src/main/java/dunlinladder/decision/Job.java
@@ -22,11 +22,13 @@
     Worker holder;
     /** True while a state may wait for it somewhere, heard of or not; since when nothing was out. */
     boolean mayHold;
+
     double heldSince;
     boolean ended;
     boolean overShare;
     /** The first attempt that might have run: where and when it was sent. */
     Worker ranAt;
+
     double ranSentAt;
     final Set<Worker> tried = new LinkedHashSet<>();
 
@@ -37,9 +39,9 @@
     }
 
     /**
-     * An attempt has ended: whether what is held for this request has to be let go instead of sent for once
-     * more. The time for that begins anew, but not with a writer that could not be reached: on sockets it
-     * runs on while connections fail to come up.
+     * An attempt has ended: whether what is held for this request has to be let go instead of sent for once more. The
+     * time for that begins anew, but not with a writer that could not be reached: on sockets it runs on while
+     * connections fail to come up.
      */
     boolean heldTooLong(Attempt attempt, Router.Status status, double now, double releaseWithin) {
         boolean unreached = attempt.stage == Attempt.Stage.WRITE && status == Router.Status.CONNECT_FAILED;
@@ -48,9 +50,9 @@
     }
 
     /**
-     * Seconds after which the client of a refused request may ask again: when what waits now will have been
-     * done, spread so that those refused together do not come again together. {@code wait} is no number while
-     * nothing is known of it, {@code chance} runs from 0 to 1.
+     * Seconds after which the client of a refused request may ask again: when what waits now will have been done,
+     * spread so that those refused together do not come again together. {@code wait} is no number while nothing is
+     * known of it, {@code chance} runs from 0 to 1.
      */
     static double advice(double wait, Router.Settings settings, double chance) {
         double expected = wait > ADVICE_LEAST ? wait : ADVICE_LEAST;
--- a/src/main/java/dunlinladder/decision/KeptPrompts.java
+++ b/src/main/java/dunlinladder/decision/KeptPrompts.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 
 /**
- * What servers that read probably keep of prompts: which one had a session's last turn, which had a beginning
- * lately, and what part of it was found again. Plain state of one router; {@link Logic} decides on it.
+ * What servers that read probably keep of prompts: which one had a session's last turn, which had a beginning lately,
+ * and what part of it was found again. Plain state of one router; {@link Logic} decides on it.
  */
 final class KeptPrompts {
 
-    private record Turn(Worker worker, double tokens, double at) { }
+    private record Turn(Worker worker, double tokens, double at) {}
 
     private final double keptFor;
     private final double smooth;
     /** Part of a beginning that servers of a role were found to keep, the last ten answers of the role. */
     private final double[] foundByRole = {1, 1, 1};
+
     private final Map<Long, Turn> sessions;
     private final Map<Long, Map<Worker, Double>> prefixes;
 
@@ -35,8 +36,7 @@
     /** The server that had the session's last turn and probably keeps it, or null. */
     Worker sessionAt(long session, double now) {
         Turn last = sessions.get(session);
-        return last != null && now - last.at < keptFor && last.worker.member.startedAt() < last.at
-                ? last.worker : null;
+        return last != null && now - last.at < keptFor && last.worker.member.startedAt() < last.at ? last.worker : null;
     }
 
     /** Tokens of the prompt that the session's last turn had; its server must be known. */
@@ -59,14 +59,15 @@
         attempt.prefixSent = prefixSent(request.prefix(), attempt.worker, now);
         sessions.put(request.session(), new Turn(attempt.worker, request.promptTokens(), now));
         if (request.prefix() != 0) {
-            prefixes.computeIfAbsent(request.prefix(), p -> new LinkedHashMap<>()).put(attempt.worker, now);
+            prefixes.computeIfAbsent(request.prefix(), p -> new LinkedHashMap<>())
+                    .put(attempt.worker, now);
         }
     }
 
     /**
-     * Takes in how many prompt tokens a server found kept: apart for beginnings that this router had sent it
-     * and for others. A session's own turns say nothing of the others. With {@code byRole} all servers of a
-     * role are taken together: where routers are many each meets one server too seldom to learn of it alone.
+     * Takes in how many prompt tokens a server found kept: apart for beginnings that this router had sent it and for
+     * others. A session's own turns say nothing of the others. With {@code byRole} all servers of a role are taken
+     * together: where routers are many each meets one server too seldom to learn of it alone.
      */
     void learn(Attempt attempt, double found, boolean byRole) {
         Worker w = attempt.worker;
--- a/src/main/java/dunlinladder/decision/Paces.java
+++ b/src/main/java/dunlinladder/decision/Paces.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * How long streams last at a server, against the mean of their class at servers that only write. The lengths
- * of answers are not told, so only means over several compare. Plain state of one router.
+ * How long streams last at a server, against the mean of their class at servers that only write. The lengths of answers
+ * are not told, so only means over several compare. Plain state of one router.
  */
 final class Paces {
 
--- a/src/main/java/dunlinladder/decision/Quotas.java
+++ b/src/main/java/dunlinladder/decision/Quotas.java
@@ -26,7 +26,7 @@
         this.least = least;
         left = new double[rates.length];
         at = new double[rates.length];
-        Arrays.fill(left, Double.POSITIVE_INFINITY);   // cut to what may be saved at the first request
+        Arrays.fill(left, Double.POSITIVE_INFINITY); // cut to what may be saved at the first request
     }
 
     /** Counts a request of a tenant; true where it is over its share. */
--- a/src/main/java/dunlinladder/decision/Served.java
+++ b/src/main/java/dunlinladder/decision/Served.java
@@ -1,9 +1,9 @@
 package dunlinladder.decision;
 
 /**
- * Answers a second of each role (reads done, or streams begun) and the most seen of late, which is what the
- * role can do. Counted over long, a rate shows late after the start, when a cold budget needs it: so there by
- * the time seen. Plain state of one router.
+ * Answers a second of each role (reads done, or streams begun) and the most seen of late, which is what the role can
+ * do. Counted over long, a rate shows late after the start, when a cold budget needs it: so there by the time seen.
+ * Plain state of one router.
  */
 final class Served {
 
--- a/src/main/java/dunlinladder/decision/Worker.java
+++ b/src/main/java/dunlinladder/decision/Worker.java
@@ -16,6 +16,7 @@
     boolean open;
     /** This router's attempts here that have had no answer yet, in the order sent. */
     final Set<Attempt> pending = new LinkedHashSet<>();
+
     int reads;
     double readTokens;
     int streams;
@@ -23,24 +24,30 @@
     double heldTokens;
     /** Smoothed answer delay over what the request's size explains; NaN before the first sample. */
     double delay = Double.NaN;
+
     double sampledAt;
     /** Delay now, slowness against the peers' median and relative speed, at the last comparison. */
     double lag = Double.NaN;
+
     double slowness = 1;
     double speed = 1;
     /** Part found kept of beginnings that this router had sent here, and of others; from 0 to 1. */
     double foundSent = 1;
+
     double foundOther = 1;
     /** How long its streams last against the usual, at {@code pacedAt}; see {@link Paces}. */
     double pace = 1;
+
     double pacedAt;
     /** Streams sent here lately, oldest first: the latest report may not show them yet. */
     final ArrayDeque<Attempt> sentSince = new ArrayDeque<>();
+
     double failures;
     double failuresAt;
     int failedInRow;
     /** Attempts in a row that could not connect; that says nothing of the others, as being late may. */
     int unreachedInRow;
+
     double nextTrialAt;
     double fullUntil;
     double memoryShare = Double.NaN;
@@ -48,6 +55,7 @@
     double reportAt = Double.NEGATIVE_INFINITY;
     /** Sends that a cold server may still get from this router, as of {@code creditAt}. */
     double credit;
+
     double creditAt;
 
     Worker(String id) {
@@ -72,7 +80,10 @@
 
     /** Tokens that streams sent here since then may hold. */
     double heldSince(double from) {
-        return sentSince.stream().filter(a -> a.sentAt >= from).mapToDouble(a -> a.held).sum();
+        return sentSince.stream()
+                .filter(a -> a.sentAt >= from)
+                .mapToDouble(a -> a.held)
+                .sum();
     }
 
     /** A new process under the same id: what was known of the old one says nothing of it. */
--- a/src/main/java/dunlinladder/demo/Demo.java
+++ b/src/main/java/dunlinladder/demo/Demo.java
@@ -26,9 +26,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Shows the program at work with nothing else at hand: discovery and engines of two generations stand in on
- * loopback, the real gateway is started before them, clients of three formats ask, and what each side saw is
- * printed.
+ * Shows the program at work with nothing else at hand: discovery and engines of two generations stand in on loopback,
+ * the real gateway is started before them, clients of three formats ask, and what each side saw is printed.
  */
 public final class Demo {
 
@@ -82,8 +81,8 @@
             thread.setDaemon(true);
             return thread;
         }));
-        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + engines.stream().map(Engine::listed)
-                .collect(Collectors.joining(",")) + "]}\n";
+        String list = "{\"seq\":1,\"whole\":true,\"hosts\":["
+                + engines.stream().map(Engine::listed).collect(Collectors.joining(",")) + "]}\n";
         server.createContext("/discovery/hosts", exchange -> follow(exchange, list));
         server.start();
         return server;
@@ -92,7 +91,8 @@
     /** Tells the list, then an empty line now and then, as discovery does while nothing changes. */
     private static void follow(HttpExchange exchange, String list) throws IOException {
         exchange.sendResponseHeaders(200, 0);
-        try (exchange; OutputStream body = exchange.getResponseBody()) {
+        try (exchange;
+                OutputStream body = exchange.getResponseBody()) {
             body.write(list.getBytes(StandardCharsets.UTF_8));
             while (true) {
                 body.flush();
@@ -106,22 +106,38 @@
 
     private static Process gateway(Path folder, HttpServer discovery) throws IOException {
         String at = "127.0.0.1:" + discovery.getAddress().getPort();
-        Path config = Files.writeString(folder.resolve("config.json"), "{\"name\":\"demo\",\"seed\":\"1\","
-                + "\"discovery\":\"" + at + "\",\"listen\":\"127.0.0.1:0\",\"settings\":" + Sample.SETTINGS
+        Path config = Files.writeString(
+                folder.resolve("config.json"),
+                "{\"name\":\"demo\",\"seed\":\"1\","
+                        + "\"discovery\":\"" + at + "\",\"listen\":\"127.0.0.1:0\",\"settings\":" + Sample.SETTINGS
                         + "}");
         Path state = Files.writeString(folder.resolve("applied.json"), STATE);
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-Xmx64m", "-cp", System.getProperty("java.class.path"),
-                "dunlinladder.lifecycle.Main", "serve", "--state", state.toString());
-        builder.environment().putAll(Map.of("RELAY_CONFIG", config.toString(), "RELAY_LISTEN", "127.0.0.1:0",
-                "RELAY_DISCOVERY", at, "DEMO_KEY", KEY));
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dunlinladder.lifecycle.Main",
+                "serve",
+                "--state",
+                state.toString());
+        builder.environment()
+                .putAll(Map.of(
+                        "RELAY_CONFIG",
+                        config.toString(),
+                        "RELAY_LISTEN",
+                        "127.0.0.1:0",
+                        "RELAY_DISCOVERY",
+                        at,
+                        "DEMO_KEY",
+                        KEY));
         return builder.redirectErrorStream(true).start();
     }
 
     /** Waits for the chat front's port in the gateway's log, which is read on in the background. */
     private int port(Process gateway) throws IOException {
-        BufferedReader log = new BufferedReader(new InputStreamReader(gateway.getInputStream(),
-                StandardCharsets.UTF_8));
+        BufferedReader log =
+                new BufferedReader(new InputStreamReader(gateway.getInputStream(), StandardCharsets.UTF_8));
         StringBuilder before = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             before.append(line).append('\n');
@@ -147,30 +163,45 @@
     }
 
     private void ask(int port) throws IOException, InterruptedException {
-        show(port, "An old counter program of the legacy text API asks for a title", "/v1/completions",
+        show(
+                port,
+                "An old counter program of the legacy text API asks for a title",
+                "/v1/completions",
                 "{\"model\":\"shelf-lookup\",\"prompt\":\"Do we have Emma?\",\"max_tokens\":40}");
-        show(port, "A shop's website asks for a listing, streamed", "/v1/chat/completions",
+        show(
+                port,
+                "A shop's website asks for a listing, streamed",
+                "/v1/chat/completions",
                 "{\"model\":\"shelf-listing\",\"stream\":true,\"messages\":[{\"role\":\"user\","
                         + "\"content\":\"List Emma, 1816, worn.\"}]}");
-        show(port, "A client of content blocks asks", "/v1/messages",
+        show(
+                port,
+                "A client of content blocks asks",
+                "/v1/messages",
                 "{\"model\":\"shelf-lookup\",\"max_tokens\":40,\"top_k\":5,\"system\":\"Be brief.\","
                         + "\"messages\":[{\"role\":\"user\",\"content\":\"Do we have Emma?\"}]}");
-        show(port, "A field that no engine's format has is refused by its name", "/v1/completions",
+        show(
+                port,
+                "A field that no engine's format has is refused by its name",
+                "/v1/completions",
                 "{\"model\":\"shelf-lookup\",\"prompt\":\"Do we have\",\"suffix\":\"?\"}");
     }
 
-    private void show(int port, String what, String path, String body) throws IOException,
-            InterruptedException {
+    private void show(int port, String what, String path, String body) throws IOException, InterruptedException {
         seen.clear();
-        HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port
-                + path)).header("Authorization", "Bearer " + KEY).header("Content-Type", "application/json")
-                .POST(HttpRequest.BodyPublishers.ofString(body)).build(),
+        HttpResponse<String> answer = http.send(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                        .header("Authorization", "Bearer " + KEY)
+                        .header("Content-Type", "application/json")
+                        .POST(HttpRequest.BodyPublishers.ofString(body))
+                        .build(),
                 HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
         out.println("== " + what);
         out.println("client sent     " + path + " " + body);
         seen.forEach(line -> out.println("engine          " + line));
-        answer.headers().firstValue("X-Translation-Warnings").ifPresent(warning -> out.println(
-                "client is told  " + warning));
+        answer.headers()
+                .firstValue("X-Translation-Warnings")
+                .ifPresent(warning -> out.println("client is told  " + warning));
         out.println("client got      " + answer.statusCode());
         answer.body().lines().filter(line -> !line.isBlank()).forEach(line -> out.println("  " + line));
         out.println();
--- a/src/main/java/dunlinladder/demo/Engine.java
+++ b/src/main/java/dunlinladder/demo/Engine.java
@@ -53,9 +53,7 @@
                 exchange.sendResponseHeaders(204, -1);
                 return;
             }
-            saw.accept(name + " (" + (reads ? "reads" : "writes") + ", " + format.key() + ") got " + path
-                    + " "
-                    + body);
+            saw.accept(name + " (" + (reads ? "reads" : "writes") + ", " + format.key() + ") got " + path + " " + body);
             if (!path.equals(format.path())) {
                 exchange.sendResponseHeaders(404, -1);
             } else if (reads) {
@@ -71,13 +69,15 @@
     }
 
     private void write(OutputStream out) throws IOException {
-        ReplyWriter writer = ReplyWriter.of(format, new ReplyWriter.Identity(name, name, 1, true, false,
-                null));
-        for (ReplyEvent event : List.of(new ReplyEvent.Begin(name, name, 1),
+        ReplyWriter writer = ReplyWriter.of(format, new ReplyWriter.Identity(name, name, 1, true, false, null));
+        for (ReplyEvent event : List.of(
+                new ReplyEvent.Begin(name, name, 1),
                 new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null),
                 new ReplyEvent.Grow(0, 0, "Three copies ", null),
-                new ReplyEvent.Grow(0, 0, "on the second shelf.", null), new ReplyEvent.Close(0, 0),
-                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null), new ReplyEvent.Usage(24, 0, 8, -1),
+                new ReplyEvent.Grow(0, 0, "on the second shelf.", null),
+                new ReplyEvent.Close(0, 0),
+                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
+                new ReplyEvent.Usage(24, 0, 8, -1),
                 new ReplyEvent.End())) {
             out.write(writer.stream(event).getBytes(StandardCharsets.UTF_8));
             out.flush();
--- a/src/main/java/dunlinladder/dialect/Conversation.java
+++ b/src/main/java/dunlinladder/dialect/Conversation.java
@@ -9,14 +9,13 @@
 /**
  * A request in no format: what it asks for, the messages so far, and the fields that no table knows.
  *
- * @param from     the format in which it came
+ * @param from the format in which it came
  * @param settings what it asks for, in neutral shapes, by setting
- * @param unknown  fields that the format's table does not have, by name; kept only where the operator passes
- *                 them on
- * @param legacy   whether tools were given by the older names, and so are to be called by them
+ * @param unknown fields that the format's table does not have, by name; kept only where the operator passes them on
+ * @param legacy whether tools were given by the older names, and so are to be called by them
  */
-public record Conversation(Format from, Map<Setting, JsonNode> settings, List<Turn> turns,
-        Map<String, JsonNode> unknown, boolean legacy) {
+public record Conversation(
+        Format from, Map<Setting, JsonNode> settings, List<Turn> turns, Map<String, JsonNode> unknown, boolean legacy) {
 
     /** A setting's value; null where it was not given. */
     public JsonNode get(Setting setting) {
--- a/src/main/java/dunlinladder/dialect/EventReader.java
+++ b/src/main/java/dunlinladder/dialect/EventReader.java
@@ -6,9 +6,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads a stream of server-sent events as its bytes come, in pieces of any size. Gives each event's name,
- * null where it has none, and its data; comments and other fields are passed over, and an event that the
- * stream's end cuts off is none.
+ * Reads a stream of server-sent events as its bytes come, in pieces of any size. Gives each event's name, null where it
+ * has none, and its data; comments and other fields are passed over, and an event that the stream's end cuts off is
+ * none.
  */
 public final class EventReader {
 
--- a/src/main/java/dunlinladder/dialect/Fault.java
+++ b/src/main/java/dunlinladder/dialect/Fault.java
@@ -3,9 +3,9 @@
 /**
  * Why a request was not answered, in no format.
  *
- * @param kind    which decides the status, the type and the code in the client's format
+ * @param kind which decides the status, the type and the code in the client's format
  * @param message for the client's people
- * @param field   the faulty field, or null
+ * @param field the faulty field, or null
  */
 public record Fault(Kind kind, String message, String field) {
 
@@ -15,7 +15,11 @@
         INVALID,
         /** The request is in order, but no server that may have it can express a field. */
         UNTRANSLATABLE,
-        AUTHENTICATION, PERMISSION, NOT_FOUND, METHOD, TOO_LARGE,
+        AUTHENTICATION,
+        PERMISSION,
+        NOT_FOUND,
+        METHOD,
+        TOO_LARGE,
         /** The client or its shop is over a limit. */
         RATE_LIMIT,
         /** No room now; it has not run. */
--- a/src/main/java/dunlinladder/dialect/Faults.java
+++ b/src/main/java/dunlinladder/dialect/Faults.java
@@ -9,25 +9,29 @@
 import java.util.Map;
 
 /**
- * Errors of each format, both ways, as tables. What an engine's error means for the request is one of three:
- * served, refused (it never ran, and asking again is harmless) or failed.
+ * Errors of each format, both ways, as tables. What an engine's error means for the request is one of three: served,
+ * refused (it never ran, and asking again is harmless) or failed.
  */
 public final class Faults {
 
     /** What an engine's error means for the request. */
-    public enum Verdict { SERVED, REFUSED, FAILED }
+    public enum Verdict {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /**
      * A row for engines' errors; null and 0 stand for any.
      *
      * @param kind what it is to the client
-     * @param mine whether the request was understood and is itself at fault, so that another engine of the
-     *             same format would say the same
+     * @param mine whether the request was understood and is itself at fault, so that another engine of the same format
+     *     would say the same
      */
-    record Row(int status, String type, String code, Kind kind, boolean mine) { }
+    record Row(int status, String type, String code, Kind kind, boolean mine) {}
 
     /** A format's own words for a kind. */
-    record Words(int status, String type, String code) { }
+    record Words(int status, String type, String code) {}
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
@@ -75,8 +79,7 @@
 
     static {
         words(Kind.INVALID, 400, "invalid_request_error", "invalid_value", "invalid_request_error");
-        words(Kind.UNTRANSLATABLE, 400, "invalid_request_error", "unsupported_parameter",
-                "invalid_request_error");
+        words(Kind.UNTRANSLATABLE, 400, "invalid_request_error", "unsupported_parameter", "invalid_request_error");
         words(Kind.AUTHENTICATION, 401, "authentication_error", "invalid_api_key", "authentication_error");
         words(Kind.PERMISSION, 403, "permission_error", "permission_denied", "permission_error");
         words(Kind.NOT_FOUND, 404, "invalid_request_error", "not_found", "not_found_error");
@@ -91,8 +94,7 @@
         words(Kind.INTERNAL, 500, "server_error", "internal_error", "api_error");
     }
 
-    private Faults() {
-    }
+    private Faults() {}
 
     private static void words(Kind kind, int status, String type, String code, String blocks) {
         OPEN.put(kind, new Words(status, type, code));
@@ -112,7 +114,8 @@
         String type = error.path("type").asText("");
         String code = error.path("code").asText("");
         for (Row row : ROWS) {
-            if ((row.status == 0 || row.status == status) && (row.type == null || row.type.equals(type))
+            if ((row.status == 0 || row.status == status)
+                    && (row.type == null || row.type.equals(type))
                     && (row.code == null || row.code.equals(code))) {
                 return row;
             }
@@ -126,26 +129,29 @@
     }
 
     /**
-     * What an engine's error is to the client. {@code status} is that of the head, 0 for an error in the
-     * midst of a stream; {@code body} may be null.
+     * What an engine's error is to the client. {@code status} is that of the head, 0 for an error in the midst of a
+     * stream; {@code body} may be null.
      */
     public static Fault read(int status, JsonNode body) {
         JsonNode error = error(body);
         Row row = row(status, error);
         // What an engine says of its own keys, limits and paths is nothing to the client.
-        String message = row.mine ? error.path("message").asText("the model's server refused the request")
+        String message = row.mine
+                ? error.path("message").asText("the model's server refused the request")
                 : switch (row.kind) {
                     case RATE_LIMIT, OVERLOADED -> "no capacity now";
                     case TIMEOUT -> "no answer in time";
                     default -> "the model's server failed";
                 };
-        return new Fault(row.kind == Kind.NOT_FOUND ? Kind.SERVER : row.kind, message,
+        return new Fault(
+                row.kind == Kind.NOT_FOUND ? Kind.SERVER : row.kind,
+                message,
                 row.mine ? error.path("param").asText(null) : null);
     }
 
     /**
-     * The fault that an engine's answer finds in the request itself; null where it finds none. A limit, a
-     * missing model or a failure is none.
+     * The fault that an engine's answer finds in the request itself; null where it finds none. A limit, a missing model
+     * or a failure is none.
      */
     public static Fault rejection(int status, String body) {
         JsonNode node = Pieces.lenient(body);
@@ -159,8 +165,8 @@
     }
 
     /**
-     * Whether an engine's error shows that it does not speak the format at all: nothing at that path, no such
-     * method, media type or function.
+     * Whether an engine's error shows that it does not speak the format at all: nothing at that path, no such method,
+     * media type or function.
      */
     public static boolean knowsNot(int status, JsonNode body) {
         return row(status, error(body)).kind == Kind.NOT_FOUND
@@ -168,8 +174,8 @@
     }
 
     /**
-     * What an error means for the request. Only an engine's own word that it did not process a request makes
-     * it a refusal; what may have run has failed, and so has what has no row of its own.
+     * What an error means for the request. Only an engine's own word that it did not process a request makes it a
+     * refusal; what may have run has failed, and so has what has no row of its own.
      */
     public static Verdict verdict(boolean neverRan, boolean delivered) {
         return neverRan && !delivered ? Verdict.REFUSED : Verdict.FAILED;
@@ -180,12 +186,14 @@
         Words words = words(to, fault.kind());
         ObjectNode body = JSON.objectNode();
         if (to == Format.MESSAGES) {
-            body.put("type", "error").putObject("error").put("type", words.type).put("message",
-                    fault.message());
+            body.put("type", "error").putObject("error").put("type", words.type).put("message", fault.message());
             return body;
         }
-        body.putObject("error").put("message", fault.message()).put("type", words.type)
-                .put("param", fault.field()).put("code", words.code);
+        body.putObject("error")
+                .put("message", fault.message())
+                .put("type", words.type)
+                .put("param", fault.field())
+                .put("code", words.code);
         return body;
     }
 
@@ -208,10 +216,17 @@
                 | --- | --- | --- | --- | --- |
                 """);
         for (Row row : ROWS) {
-            page.append("| ").append(row.status == 0 ? "-" : row.status).append(" | ")
-                    .append(row.type == null ? "-" : row.type).append(" | ")
-                    .append(row.code == null ? "-" : row.code).append(" | ")
-                    .append(row.kind).append(" | ").append(row.mine ? "yes" : "no").append(" |\n");
+            page.append("| ")
+                    .append(row.status == 0 ? "-" : row.status)
+                    .append(" | ")
+                    .append(row.type == null ? "-" : row.type)
+                    .append(" | ")
+                    .append(row.code == null ? "-" : row.code)
+                    .append(" | ")
+                    .append(row.kind)
+                    .append(" | ")
+                    .append(row.mine ? "yes" : "no")
+                    .append(" |\n");
         }
         page.append("""
 
@@ -223,9 +238,19 @@
         for (Kind kind : Kind.values()) {
             Words open = OPEN.get(kind);
             Words blocks = BLOCKS.get(kind);
-            page.append("| ").append(kind).append(" | ").append(open.status).append(' ').append(open.type)
-                    .append(", ").append(open.code).append(" | ").append(blocks.status).append(' ')
-                    .append(blocks.type).append(" |\n");
+            page.append("| ")
+                    .append(kind)
+                    .append(" | ")
+                    .append(open.status)
+                    .append(' ')
+                    .append(open.type)
+                    .append(", ")
+                    .append(open.code)
+                    .append(" | ")
+                    .append(blocks.status)
+                    .append(' ')
+                    .append(blocks.type)
+                    .append(" |\n");
         }
         return page.toString();
     }
--- a/src/main/java/dunlinladder/dialect/Fields.java
+++ b/src/main/java/dunlinladder/dialect/Fields.java
@@ -6,24 +6,23 @@
 import java.util.Map;
 
 /**
- * The fields of each format, once: which setting each one is, and how it is written. What is read, what is
- * written, what each pair of formats does with a field and the table in the docs all come from here.
+ * The fields of each format, once: which setting each one is, and how it is written. What is read, what is written,
+ * what each pair of formats does with a field and the table in the docs all come from here.
  */
 final class Fields {
 
     /**
      * A field of a format.
      *
-     * @param path  its name, with a dot where it lies in an object
+     * @param path its name, with a dot where it lies in an object
      * @param alias true for an older name, which is read but not written
      */
-    record Field(String path, Setting setting, Shape shape, boolean alias) { }
+    record Field(String path, Setting setting, Shape shape, boolean alias) {}
 
     private static final Map<Format, Map<String, Field>> BY_PATH = new EnumMap<>(Format.class);
     private static final Map<Format, Map<Setting, Field>> BY_SETTING = new EnumMap<>(Format.class);
 
-    private Fields() {
-    }
+    private Fields() {}
 
     static {
         common(Format.COMPLETIONS);
@@ -120,8 +119,9 @@
 
     private static void add(Format format, String path, Setting setting, Shape shape) {
         put(format, new Field(path, setting, shape, false));
-        BY_SETTING.computeIfAbsent(format, f -> new EnumMap<>(Setting.class)).put(setting,
-                BY_PATH.get(format).get(path));
+        BY_SETTING
+                .computeIfAbsent(format, f -> new EnumMap<>(Setting.class))
+                .put(setting, BY_PATH.get(format).get(path));
     }
 
     private static void alias(Format format, String path, Setting setting, Shape shape) {
--- a/src/main/java/dunlinladder/dialect/Part.java
+++ b/src/main/java/dunlinladder/dialect/Part.java
@@ -4,7 +4,16 @@
 public sealed interface Part {
 
     /** The kinds of pieces, which formats carry or not. */
-    enum Kind { TEXT, IMAGE, AUDIO, FILE, CALL, RESULT, THOUGHT, REFUSAL }
+    enum Kind {
+        TEXT,
+        IMAGE,
+        AUDIO,
+        FILE,
+        CALL,
+        RESULT,
+        THOUGHT,
+        REFUSAL
+    }
 
     /** Its kind. */
     Kind kind();
--- a/src/main/java/dunlinladder/dialect/Pieces.java
+++ b/src/main/java/dunlinladder/dialect/Pieces.java
@@ -15,12 +15,14 @@
     /** Deepest nesting that is read; a body nested deeper is malformed. */
     public static final int DEPTH = 100;
 
-    private static final ObjectMapper MAPPER = new ObjectMapper(JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(DEPTH).build()).build())
+    private static final ObjectMapper MAPPER = new ObjectMapper(JsonFactory.builder()
+                    .streamReadConstraints(StreamReadConstraints.builder()
+                            .maxNestingDepth(DEPTH)
+                            .build())
+                    .build())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private Pieces() {
-    }
+    private Pieces() {}
 
     /** A body's object; {@link Untranslatable} where it is none. */
     public static JsonNode body(byte[] content) {
--- a/src/main/java/dunlinladder/dialect/ReplyReader.java
+++ b/src/main/java/dunlinladder/dialect/ReplyReader.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 
 /**
- * An engine's answer into the neutral model, event by event. What can't be understood is a {@link
- * ReplyEvent.Failed} of kind GARBLED; after that, and after the end, nothing counts.
+ * An engine's answer into the neutral model, event by event. What can't be understood is a {@link ReplyEvent.Failed} of
+ * kind GARBLED; after that, and after the end, nothing counts.
  */
 public abstract class ReplyReader {
 
@@ -102,7 +102,9 @@
     final void begin(JsonNode from, String created) {
         if (!begun) {
             begun = true;
-            out.add(new ReplyEvent.Begin(from.path("id").asText(""), from.path("model").asText(""),
+            out.add(new ReplyEvent.Begin(
+                    from.path("id").asText(""),
+                    from.path("model").asText(""),
                     from.path(created).asLong()));
         }
     }
@@ -143,7 +145,10 @@
     }
 
     final void finish(int choice, Reason reason, String sequence) {
-        open.entrySet().stream().filter(e -> e.getValue()[0] == choice).map(Map.Entry::getKey).toList()
+        open.entrySet().stream()
+                .filter(e -> e.getValue()[0] == choice)
+                .map(Map.Entry::getKey)
+                .toList()
                 .forEach(this::close);
         if (finished.add(choice)) {
             out.add(new ReplyEvent.Finish(choice, reason, sequence));
@@ -229,8 +234,10 @@
             }
             int position = 0;
             for (JsonNode call : delta.path("tool_calls")) {
-                call(index, index + "call" + call.path("index").asInt(position++), call.path("id")
-                        .asText(null),
+                call(
+                        index,
+                        index + "call" + call.path("index").asInt(position++),
+                        call.path("id").asText(null),
                         call.path("function"));
             }
             if (delta.path("function_call").isObject()) {
@@ -238,13 +245,16 @@
                 call(index, index + "call", "call_" + function.path("name").asText(), function);
             }
             if (choice.path("finish_reason").isTextual()) {
-                finish(index, switch (choice.get("finish_reason").asText()) {
-                    case "stop" -> Reason.STOP;
-                    case "length" -> Reason.LENGTH;
-                    case "tool_calls", "function_call" -> Reason.CALLS;
-                    case "content_filter" -> Reason.FILTER;
-                    default -> Reason.UNKNOWN;
-                }, null);
+                finish(
+                        index,
+                        switch (choice.get("finish_reason").asText()) {
+                            case "stop" -> Reason.STOP;
+                            case "length" -> Reason.LENGTH;
+                            case "tool_calls", "function_call" -> Reason.CALLS;
+                            case "content_filter" -> Reason.FILTER;
+                            default -> Reason.UNKNOWN;
+                        },
+                        null);
             }
         }
 
@@ -282,7 +292,9 @@
     }
 
     final void chatUsage(JsonNode usage) {
-        usage(number(usage, "prompt_tokens"), number(usage.path("prompt_tokens_details"), "cached_tokens"),
+        usage(
+                number(usage, "prompt_tokens"),
+                number(usage.path("prompt_tokens_details"), "cached_tokens"),
                 number(usage, "completion_tokens"),
                 number(usage.path("completion_tokens_details"), "reasoning_tokens"));
     }
@@ -302,12 +314,15 @@
                     grow(index + "text", text, logprobs == null ? null : tokens(logprobs));
                 }
                 if (choice.path("finish_reason").isTextual()) {
-                    finish(index, switch (choice.get("finish_reason").asText()) {
-                        case "stop" -> Reason.STOP;
-                        case "length" -> Reason.LENGTH;
-                        case "content_filter" -> Reason.FILTER;
-                        default -> Reason.UNKNOWN;
-                    }, null);
+                    finish(
+                            index,
+                            switch (choice.get("finish_reason").asText()) {
+                                case "stop" -> Reason.STOP;
+                                case "length" -> Reason.LENGTH;
+                                case "content_filter" -> Reason.FILTER;
+                                default -> Reason.UNKNOWN;
+                            },
+                            null);
                 }
             }
             if (event.path("usage").isObject()) {
@@ -324,9 +339,13 @@
                 token.put("logprob", logprobs.path("token_logprobs").path(i).asDouble());
                 token.putNull("bytes");
                 ArrayNode top = token.putArray("top_logprobs");
-                logprobs.path("top_logprobs").path(i).fields().forEachRemaining(each -> top.addObject()
-                        .put("token", each.getKey()).put("logprob", each.getValue().asDouble())
-                        .putNull("bytes"));
+                logprobs.path("top_logprobs")
+                        .path(i)
+                        .fields()
+                        .forEachRemaining(each -> top.addObject()
+                                .put("token", each.getKey())
+                                .put("logprob", each.getValue().asDouble())
+                                .putNull("bytes"));
             }
             return list;
         }
@@ -362,8 +381,11 @@
                     refused |= refusal;
                     open(0, content, refusal ? Part.Kind.REFUSAL : Part.Kind.TEXT, null, null);
                 }
-                case "response.output_text.delta" -> grow(content, textOf(event, "delta"),
-                        nonNull(event.path("logprobs").isEmpty() ? null : event.path("logprobs")));
+                case "response.output_text.delta" ->
+                    grow(
+                            content,
+                            textOf(event, "delta"),
+                            nonNull(event.path("logprobs").isEmpty() ? null : event.path("logprobs")));
                 case "response.refusal.delta" -> grow(content, textOf(event, "delta"), null);
                 case "response.content_part.done" -> close(content);
                 case "response.function_call_arguments.delta" -> {
@@ -376,8 +398,8 @@
                         grow(item, textOf(event, "arguments"), null);
                     }
                 }
-                case "response.reasoning_summary_text.delta", "response.reasoning_text.delta" -> grow(item,
-                        textOf(event, "delta"), null);
+                case "response.reasoning_summary_text.delta", "response.reasoning_text.delta" ->
+                    grow(item, textOf(event, "delta"), null);
                 case "response.output_item.done" -> {
                     if (isOpen(item)) {
                         seal(item, event.path("item").path("encrypted_content").asText(null));
@@ -387,7 +409,7 @@
                 case "response.completed", "response.incomplete" -> over(event.path("response"));
                 case "response.failed" -> fail(Faults.read(0, event.path("response")));
                 case "error" -> fail(Faults.read(0, event));
-                default -> { }
+                default -> {}
             }
         }
 
@@ -395,11 +417,15 @@
             switch (item.path("type").asText()) {
                 case "function_call" -> {
                     calls = true;
-                    open(0, key, Part.Kind.CALL, item.path("call_id").asText(item.path("id").asText()),
+                    open(
+                            0,
+                            key,
+                            Part.Kind.CALL,
+                            item.path("call_id").asText(item.path("id").asText()),
                             item.path("name").asText());
                 }
                 case "reasoning" -> open(0, key, Part.Kind.THOUGHT, null, null);
-                default -> { }
+                default -> {}
             }
         }
 
@@ -420,7 +446,9 @@
                     refused |= refusal;
                     String inner = key + "/" + piece++;
                     open(0, inner, refusal ? Part.Kind.REFUSAL : Part.Kind.TEXT, null, null);
-                    grow(inner, textOf(part, refusal ? "refusal" : "text"),
+                    grow(
+                            inner,
+                            textOf(part, refusal ? "refusal" : "text"),
                             nonNull(part.path("logprobs").isEmpty() ? null : part.path("logprobs")));
                     close(inner);
                 }
@@ -439,12 +467,19 @@
         private void over(JsonNode response) {
             String why = response.path("incomplete_details").path("reason").asText("");
             boolean incomplete = response.path("status").asText().equals("incomplete");
-            finish(0, why.equals("content_filter") ? Reason.FILTER : incomplete ? Reason.LENGTH
-                    : refused ? Reason.REFUSAL : calls ? Reason.CALLS : Reason.STOP, null);
+            finish(
+                    0,
+                    why.equals("content_filter")
+                            ? Reason.FILTER
+                            : incomplete
+                                    ? Reason.LENGTH
+                                    : refused ? Reason.REFUSAL : calls ? Reason.CALLS : Reason.STOP,
+                    null);
             JsonNode usage = response.path("usage");
             if (usage.isObject()) {
-                usage(number(usage, "input_tokens"), number(usage.path("input_tokens_details"),
-                        "cached_tokens"),
+                usage(
+                        number(usage, "input_tokens"),
+                        number(usage.path("input_tokens_details"), "cached_tokens"),
                         number(usage, "output_tokens"),
                         number(usage.path("output_tokens_details"), "reasoning_tokens"));
             }
@@ -474,8 +509,9 @@
                         case "text_delta" -> grow(key, textOf(delta, "text"), null);
                         case "input_json_delta" -> grow(key, textOf(delta, "partial_json"), null);
                         case "thinking_delta" -> grow(key, textOf(delta, "thinking"), null);
-                        case "signature_delta" -> seal(key, delta.path("signature").asText(null));
-                        default -> { }
+                        case "signature_delta" ->
+                            seal(key, delta.path("signature").asText(null));
+                        default -> {}
                     }
                 }
                 case "content_block_stop" -> close(key);
@@ -488,14 +524,19 @@
                     ends();
                 }
                 case "error" -> fail(Faults.read(0, event));
-                default -> { }
+                default -> {}
             }
         }
 
         private void start(String key, JsonNode block) {
             switch (block.path("type").asText()) {
-                case "tool_use" -> open(0, key, Part.Kind.CALL, block.path("id").asText(),
-                        block.path("name").asText());
+                case "tool_use" ->
+                    open(
+                            0,
+                            key,
+                            Part.Kind.CALL,
+                            block.path("id").asText(),
+                            block.path("name").asText());
                 case "thinking", "redacted_thinking" -> {
                     open(0, key, Part.Kind.THOUGHT, null, null);
                     grow(key, textOf(block, "thinking"), null);
@@ -513,21 +554,25 @@
             cached = read >= 0 ? read : cached;
             long input = number(usage, "input_tokens");
             // This format counts what was found kept apart; the others count it in.
-            prompt = input >= 0 ? input + Math.max(0, read)
-                    + Math.max(0, number(usage, "cache_creation_input_tokens")) : prompt;
+            prompt = input >= 0
+                    ? input + Math.max(0, read) + Math.max(0, number(usage, "cache_creation_input_tokens"))
+                    : prompt;
             output = number(usage, "output_tokens") >= 0 ? number(usage, "output_tokens") : output;
         }
 
         private void stop(JsonNode delta) {
             if (delta.path("stop_reason").isTextual()) {
-                finish(0, switch (delta.get("stop_reason").asText()) {
-                    case "end_turn" -> Reason.STOP;
-                    case "stop_sequence" -> Reason.SEQUENCE;
-                    case "max_tokens", "model_context_window_exceeded" -> Reason.LENGTH;
-                    case "tool_use" -> Reason.CALLS;
-                    case "refusal" -> Reason.REFUSAL;
-                    default -> Reason.UNKNOWN;
-                }, delta.path("stop_sequence").asText(null));
+                finish(
+                        0,
+                        switch (delta.get("stop_reason").asText()) {
+                            case "end_turn" -> Reason.STOP;
+                            case "stop_sequence" -> Reason.SEQUENCE;
+                            case "max_tokens", "model_context_window_exceeded" -> Reason.LENGTH;
+                            case "tool_use" -> Reason.CALLS;
+                            case "refusal" -> Reason.REFUSAL;
+                            default -> Reason.UNKNOWN;
+                        },
+                        delta.path("stop_sequence").asText(null));
             }
         }
 
--- a/src/main/java/dunlinladder/dialect/ReplyWriter.java
+++ b/src/main/java/dunlinladder/dialect/ReplyWriter.java
@@ -12,9 +12,8 @@
 import java.util.Map;
 
 /**
- * An answer out of the neutral model in a client's format, as a stream or whole. What the client sees of the
- * answer's identity (id, model, time) is the gateway's and stays the same through the stream, whatever engine
- * it comes from.
+ * An answer out of the neutral model in a client's format, as a stream or whole. What the client sees of the answer's
+ * identity (id, model, time) is the gateway's and stays the same through the stream, whatever engine it comes from.
  */
 public abstract class ReplyWriter {
 
@@ -23,15 +22,14 @@
     /**
      * What the answer is to be like.
      *
-     * @param id      of the answer, without the prefix that a format puts before it
-     * @param model   as the client named it
+     * @param id of the answer, without the prefix that a format puts before it
+     * @param model as the client named it
      * @param created in Unix seconds
-     * @param usage   whether a stream ends with its usage, where the format leaves that to the client
-     * @param legacy  whether tools are called by the older names
-     * @param echo    the prompt that goes ahead of the answer, or null
+     * @param usage whether a stream ends with its usage, where the format leaves that to the client
+     * @param legacy whether tools are called by the older names
+     * @param echo the prompt that goes ahead of the answer, or null
      */
-    public record Identity(String id, String model, long created, boolean usage, boolean legacy,
-            String echo) { }
+    public record Identity(String id, String model, long created, boolean usage, boolean legacy, String echo) {}
 
     final Identity identity;
     private final StringBuilder out = new StringBuilder();
@@ -124,9 +122,9 @@
     /** The usage as chat completions and the legacy text API have it. */
     final ObjectNode chatUsage() {
         ObjectNode node = JSON.objectNode();
-        node.put("prompt_tokens", Math.max(0, usage.prompt())).put("completion_tokens",
-                Math.max(0, usage.output())).put("total_tokens",
-                Math.max(0, usage.prompt()) + Math.max(0, usage.output()));
+        node.put("prompt_tokens", Math.max(0, usage.prompt()))
+                .put("completion_tokens", Math.max(0, usage.output()))
+                .put("total_tokens", Math.max(0, usage.prompt()) + Math.max(0, usage.output()));
         if (usage.cached() >= 0) {
             node.putObject("prompt_tokens_details").put("cached_tokens", usage.cached());
         }
@@ -137,8 +135,11 @@
     }
 
     final ObjectNode envelope(String prefix, String object) {
-        return JSON.objectNode().put("id", prefix + identity.id).put("object", object)
-                .put("created", identity.created).put("model", identity.model);
+        return JSON.objectNode()
+                .put("id", prefix + identity.id)
+                .put("object", object)
+                .put("created", identity.created)
+                .put("model", identity.model);
     }
 
     /** Chat completions. */
@@ -161,11 +162,18 @@
                     known.put(open.part(), known.size());
                     ObjectNode delta = JSON.objectNode();
                     if (identity.legacy) {
-                        delta.putObject("function_call").put("name", open.name()).put("arguments", "");
+                        delta.putObject("function_call")
+                                .put("name", open.name())
+                                .put("arguments", "");
                     } else {
-                        delta.putArray("tool_calls").addObject().put("index", known.size() - 1)
-                                .put("id", open.callId()).put("type", "function").putObject("function")
-                                .put("name", open.name()).put("arguments", "");
+                        delta.putArray("tool_calls")
+                                .addObject()
+                                .put("index", known.size() - 1)
+                                .put("id", open.callId())
+                                .put("type", "function")
+                                .putObject("function")
+                                .put("name", open.name())
+                                .put("arguments", "");
                     }
                     chunk(open.choice(), delta, null, null);
                 }
@@ -193,9 +201,11 @@
                     if (identity.legacy) {
                         delta.putObject("function_call").put("arguments", grow.text());
                     } else {
-                        delta.putArray("tool_calls").addObject()
+                        delta.putArray("tool_calls")
+                                .addObject()
                                 .put("index", calls.get(grow.choice()).get(grow.part()))
-                                .putObject("function").put("arguments", grow.text());
+                                .putObject("function")
+                                .put("arguments", grow.text());
                     }
                 }
                 case REFUSAL -> delta.put("refusal", grow.text());
@@ -245,9 +255,13 @@
                 ArrayNode logprobs = JSON.arrayNode();
                 for (Piece piece : pieces) {
                     switch (piece.open.kind()) {
-                        case CALL -> called.addObject().put("id", piece.open.callId()).put("type", "function")
-                                .putObject("function").put("name", piece.open.name())
-                                .put("arguments", piece.text.toString());
+                        case CALL ->
+                            called.addObject()
+                                    .put("id", piece.open.callId())
+                                    .put("type", "function")
+                                    .putObject("function")
+                                    .put("name", piece.open.name())
+                                    .put("arguments", piece.text.toString());
                         case THOUGHT -> thought.append(piece.text);
                         case REFUSAL -> refusal.append(piece.text);
                         default -> {
@@ -256,8 +270,9 @@
                         }
                     }
                 }
-                message.put("content", text.isEmpty() && (!called.isEmpty() || !refusal.isEmpty()) ? null
-                        : text.toString());
+                message.put(
+                        "content",
+                        text.isEmpty() && (!called.isEmpty() || !refusal.isEmpty()) ? null : text.toString());
                 message.put("refusal", refusal.isEmpty() ? null : refusal.toString());
                 if (!thought.isEmpty()) {
                     message.put("reasoning_content", thought.toString());
@@ -317,7 +332,9 @@
         private void chunk(int choice, String text, JsonNode logprobs, String reason) {
             boolean first = echoed.put(choice, true) == null && identity.echo != null;
             ObjectNode node = envelope("cmpl-", "text_completion");
-            ObjectNode each = node.putArray("choices").addObject().put("index", choice)
+            ObjectNode each = node.putArray("choices")
+                    .addObject()
+                    .put("index", choice)
                     .put("text", first ? identity.echo + text : text);
             each.set("logprobs", logprobs == null ? null : lists(logprobs));
             each.put("finish_reason", reason);
@@ -334,8 +351,10 @@
                 tokens.add(each.path("token").asText());
                 values.add(each.path("logprob").asDouble());
                 ObjectNode others = top.addObject();
-                each.path("top_logprobs").forEach(other -> others.put(other.path("token").asText(),
-                        other.path("logprob").asDouble()));
+                each.path("top_logprobs")
+                        .forEach(other -> others.put(
+                                other.path("token").asText(),
+                                other.path("logprob").asDouble()));
             }
             return node;
         }
@@ -385,10 +404,8 @@
         void write(ReplyEvent event) {
             if (!begun && !(event instanceof ReplyEvent.Failed)) {
                 begun = true;
-                emit("response.created", JSON.objectNode().set("response", response("in_progress",
-                        List.of())));
-                emit("response.in_progress", JSON.objectNode().set("response", response("in_progress",
-                        List.of())));
+                emit("response.created", JSON.objectNode().set("response", response("in_progress", List.of())));
+                emit("response.in_progress", JSON.objectNode().set("response", response("in_progress", List.of())));
             }
             if (event instanceof ReplyEvent.Open opened) {
                 open(opened);
@@ -401,19 +418,22 @@
             } else if (event instanceof ReplyEvent.Finish finish) {
                 reason = finish.reason();
             } else if (event instanceof ReplyEvent.Failed failed) {
-                ObjectNode error = (ObjectNode) Faults.write(Format.RESPONSES, failed.fault()).get("error");
+                ObjectNode error = (ObjectNode)
+                        Faults.write(Format.RESPONSES, failed.fault()).get("error");
                 if (begun) {
                     ObjectNode response = response("failed", all);
-                    response.putObject("error").put("code", error.get("code").asText()).put("message",
-                            error.get("message").asText());
+                    response.putObject("error")
+                            .put("code", error.get("code").asText())
+                            .put("message", error.get("message").asText());
                     emit("response.failed", JSON.objectNode().set("response", response));
                 } else {
                     emit("error", error);
                 }
             } else if (event instanceof ReplyEvent.End) {
                 boolean whole = reason != Reason.LENGTH && reason != Reason.FILTER;
-                emit(whole ? "response.completed" : "response.incomplete", JSON.objectNode().set("response",
-                        response(whole ? "completed" : "incomplete", all)));
+                emit(
+                        whole ? "response.completed" : "response.incomplete",
+                        JSON.objectNode().set("response", response(whole ? "completed" : "incomplete", all)));
             }
         }
 
@@ -430,25 +450,34 @@
 
         private String itemId(Piece piece) {
             return switch (piece.open.kind()) {
-                case CALL -> "fc_";
-                case THOUGHT -> "rs_";
-                default -> "msg_";
-            } + identity.id + "_" + piece.open.part();
+                        case CALL -> "fc_";
+                        case THOUGHT -> "rs_";
+                        default -> "msg_";
+                    }
+                    + identity.id + "_" + piece.open.part();
         }
 
         private void open(ReplyEvent.Open opened) {
             Piece piece = new Piece(opened);
             all.add(piece);
             open.put(opened.part(), piece);
-            emit("response.output_item.added", JSON.objectNode().put("output_index", opened.part())
-                    .set("item", item(piece, "in_progress")));
+            emit(
+                    "response.output_item.added",
+                    JSON.objectNode().put("output_index", opened.part()).set("item", item(piece, "in_progress")));
             if (isMessage(piece)) {
-                emit("response.content_part.added", at(opened.part(), itemId(piece)).put("content_index", 0)
-                        .set("part", content(piece)));
+                emit(
+                        "response.content_part.added",
+                        at(opened.part(), itemId(piece)).put("content_index", 0).set("part", content(piece)));
             } else if (opened.kind() == Part.Kind.THOUGHT) {
-                emit("response.reasoning_summary_part.added", at(opened.part(), itemId(piece))
-                        .put("summary_index", 0).set("part", JSON.objectNode().put("type", "summary_text")
-                                .put("text", "")));
+                emit(
+                        "response.reasoning_summary_part.added",
+                        at(opened.part(), itemId(piece))
+                                .put("summary_index", 0)
+                                .set(
+                                        "part",
+                                        JSON.objectNode()
+                                                .put("type", "summary_text")
+                                                .put("text", "")));
             }
         }
 
@@ -462,10 +491,12 @@
             ObjectNode at = at(grow.part(), itemId(piece));
             switch (piece.open.kind()) {
                 case CALL -> emit("response.function_call_arguments.delta", at.put("delta", grow.text()));
-                case THOUGHT -> emit("response.reasoning_summary_text.delta", at.put("summary_index", 0)
-                        .put("delta", grow.text()));
-                case REFUSAL -> emit("response.refusal.delta", at.put("content_index", 0)
-                        .put("delta", grow.text()));
+                case THOUGHT ->
+                    emit(
+                            "response.reasoning_summary_text.delta",
+                            at.put("summary_index", 0).put("delta", grow.text()));
+                case REFUSAL ->
+                    emit("response.refusal.delta", at.put("content_index", 0).put("delta", grow.text()));
                 default -> {
                     at.put("content_index", 0).put("delta", grow.text());
                     at.set("logprobs", grow.logprobs() == null ? JSON.arrayNode() : grow.logprobs());
@@ -481,11 +512,18 @@
             switch (piece.open.kind()) {
                 case CALL -> emit("response.function_call_arguments.done", at.put("arguments", text));
                 case THOUGHT -> {
-                    emit("response.reasoning_summary_text.done", at.put("summary_index", 0).put("text",
-                            text));
-                    emit("response.reasoning_summary_part.done", at(part, itemId(piece)).put("summary_index",
-                            0)
-                            .set("part", JSON.objectNode().put("type", "summary_text").put("text", text)));
+                    emit(
+                            "response.reasoning_summary_text.done",
+                            at.put("summary_index", 0).put("text", text));
+                    emit(
+                            "response.reasoning_summary_part.done",
+                            at(part, itemId(piece))
+                                    .put("summary_index", 0)
+                                    .set(
+                                            "part",
+                                            JSON.objectNode()
+                                                    .put("type", "summary_text")
+                                                    .put("text", text)));
                 }
                 default -> {
                     boolean refusal = piece.open.kind() == Part.Kind.REFUSAL;
@@ -494,12 +532,14 @@
                         at.set("logprobs", piece.logprobs);
                     }
                     emit(refusal ? "response.refusal.done" : "response.output_text.done", at);
-                    emit("response.content_part.done", at(part, itemId(piece)).put("content_index", 0)
-                            .set("part", content(piece)));
+                    emit(
+                            "response.content_part.done",
+                            at(part, itemId(piece)).put("content_index", 0).set("part", content(piece)));
                 }
             }
-            emit("response.output_item.done", JSON.objectNode().put("output_index", part)
-                    .set("item", item(piece, "completed")));
+            emit(
+                    "response.output_item.done",
+                    JSON.objectNode().put("output_index", part).set("item", item(piece, "completed")));
         }
 
         private ObjectNode content(Piece piece) {
@@ -515,9 +555,12 @@
         private ObjectNode item(Piece piece, String status) {
             ObjectNode item = JSON.objectNode().put("id", itemId(piece));
             switch (piece.open.kind()) {
-                case CALL -> item.put("type", "function_call").put("status", status)
-                        .put("call_id", piece.open.callId()).put("name", piece.open.name())
-                        .put("arguments", piece.text.toString());
+                case CALL ->
+                    item.put("type", "function_call")
+                            .put("status", status)
+                            .put("call_id", piece.open.callId())
+                            .put("name", piece.open.name())
+                            .put("arguments", piece.text.toString());
                 case THOUGHT -> {
                     ArrayNode summary = item.put("type", "reasoning").putArray("summary");
                     if (!piece.text.isEmpty()) {
@@ -528,8 +571,10 @@
                     }
                 }
                 default -> {
-                    ArrayNode content = item.put("type", "message").put("status", status)
-                            .put("role", "assistant").putArray("content");
+                    ArrayNode content = item.put("type", "message")
+                            .put("status", status)
+                            .put("role", "assistant")
+                            .putArray("content");
                     if (!status.equals("in_progress")) {
                         content.add(content(piece));
                     }
@@ -539,27 +584,28 @@
         }
 
         private ObjectNode response(String status, List<Piece> pieces) {
-            ObjectNode response = JSON.objectNode().put("id", "resp_" + identity.id).put("object", "response")
-                    .put("created_at", identity.created).put("status", status).put("model", identity.model);
+            ObjectNode response = JSON.objectNode()
+                    .put("id", "resp_" + identity.id)
+                    .put("object", "response")
+                    .put("created_at", identity.created)
+                    .put("status", status)
+                    .put("model", identity.model);
             response.putNull("error");
             if (status.equals("incomplete")) {
-                response.putObject("incomplete_details").put("reason",
-                        reason == Reason.FILTER ? "content_filter" : "max_output_tokens");
+                response.putObject("incomplete_details")
+                        .put("reason", reason == Reason.FILTER ? "content_filter" : "max_output_tokens");
             } else {
                 response.putNull("incomplete_details");
             }
             ArrayNode output = response.putArray("output");
-            pieces.forEach(piece -> output.add(item(piece, status.equals("incomplete") ? status
-                    : "completed")));
+            pieces.forEach(piece -> output.add(item(piece, status.equals("incomplete") ? status : "completed")));
             if (status.equals("in_progress") || status.equals("failed")) {
                 response.putNull("usage");
             } else {
-                ObjectNode node = response.putObject("usage").put("input_tokens", Math.max(0,
-                        usage.prompt()));
+                ObjectNode node = response.putObject("usage").put("input_tokens", Math.max(0, usage.prompt()));
                 node.putObject("input_tokens_details").put("cached_tokens", Math.max(0, usage.cached()));
                 node.put("output_tokens", Math.max(0, usage.output()));
-                node.putObject("output_tokens_details").put("reasoning_tokens", Math.max(0,
-                        usage.reasoning()));
+                node.putObject("output_tokens_details").put("reasoning_tokens", Math.max(0, usage.reasoning()));
                 node.put("total_tokens", Math.max(0, usage.prompt()) + Math.max(0, usage.output()));
             }
             return response;
@@ -568,8 +614,8 @@
         @Override
         ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends) {
             reason = ends.get(0).reason();
-            return response(reason == Reason.LENGTH || reason == Reason.FILTER ? "incomplete" : "completed",
-                    choices.get(0));
+            return response(
+                    reason == Reason.LENGTH || reason == Reason.FILTER ? "incomplete" : "completed", choices.get(0));
         }
     }
 
@@ -581,6 +627,7 @@
         private boolean begun;
         /** The block that is open, -1 for none, and what waits for its end: blocks never overlap here. */
         private int current = -1;
+
         private final List<ReplyEvent> waiting = new ArrayList<>();
 
         Messages(Identity identity) {
@@ -596,7 +643,9 @@
                 message.putNull("stop_reason");
                 message.putNull("stop_sequence");
                 message.putObject("usage").put("input_tokens", 0).put("output_tokens", 0);
-                send("message_start", JSON.objectNode().put("type", "message_start").set("message", message));
+                send(
+                        "message_start",
+                        JSON.objectNode().put("type", "message_start").set("message", message));
             }
             if (part(event) >= 0) {
                 inOrder(event);
@@ -606,7 +655,8 @@
                 send("error", Faults.write(Format.MESSAGES, failed.fault()));
             } else if (event instanceof ReplyEvent.End) {
                 ObjectNode last = JSON.objectNode().put("type", "message_delta");
-                last.putObject("delta").put("stop_reason", reason(finish.reason()))
+                last.putObject("delta")
+                        .put("stop_reason", reason(finish.reason()))
                         .put("stop_sequence", finish.sequence());
                 last.set("usage", tokens());
                 send("message_delta", last);
@@ -615,10 +665,13 @@
         }
 
         private static int part(ReplyEvent event) {
-            return event instanceof ReplyEvent.Open open ? open.part()
-                    : event instanceof ReplyEvent.Grow grow ? grow.part()
-                    : event instanceof ReplyEvent.Seal seal ? seal.part()
-                    : event instanceof ReplyEvent.Close close ? close.part() : -1;
+            return event instanceof ReplyEvent.Open open
+                    ? open.part()
+                    : event instanceof ReplyEvent.Grow grow
+                            ? grow.part()
+                            : event instanceof ReplyEvent.Seal seal
+                                    ? seal.part()
+                                    : event instanceof ReplyEvent.Close close ? close.part() : -1;
         }
 
         private void inOrder(ReplyEvent event) {
@@ -640,47 +693,73 @@
             if (event instanceof ReplyEvent.Open open) {
                 kinds.put(open.part(), open.kind());
                 ObjectNode block = switch (open.kind()) {
-                    case CALL -> JSON.objectNode().put("type", "tool_use").put("id", open.callId())
-                            .put("name", open.name()).set("input", JSON.objectNode());
-                    case THOUGHT -> JSON.objectNode().put("type", "thinking").put("thinking", "")
-                            .put("signature", "");
+                    case CALL ->
+                        JSON.objectNode()
+                                .put("type", "tool_use")
+                                .put("id", open.callId())
+                                .put("name", open.name())
+                                .set("input", JSON.objectNode());
+                    case THOUGHT ->
+                        JSON.objectNode()
+                                .put("type", "thinking")
+                                .put("thinking", "")
+                                .put("signature", "");
                     default -> JSON.objectNode().put("type", "text").put("text", "");
                 };
-                send("content_block_start", JSON.objectNode().put("type", "content_block_start")
-                        .put("index", open.part()).set("content_block", block));
+                send(
+                        "content_block_start",
+                        JSON.objectNode()
+                                .put("type", "content_block_start")
+                                .put("index", open.part())
+                                .set("content_block", block));
             } else if (event instanceof ReplyEvent.Grow grow && !grow.text().isEmpty()) {
-                delta(grow.part(), switch (kinds.get(grow.part())) {
-                    case CALL -> JSON.objectNode().put("type", "input_json_delta")
-                            .put("partial_json", grow.text());
-                    case THOUGHT -> JSON.objectNode().put("type", "thinking_delta").put("thinking",
-                            grow.text());
-                    default -> JSON.objectNode().put("type", "text_delta").put("text", grow.text());
-                });
+                delta(
+                        grow.part(),
+                        switch (kinds.get(grow.part())) {
+                            case CALL ->
+                                JSON.objectNode()
+                                        .put("type", "input_json_delta")
+                                        .put("partial_json", grow.text());
+                            case THOUGHT ->
+                                JSON.objectNode().put("type", "thinking_delta").put("thinking", grow.text());
+                            default ->
+                                JSON.objectNode().put("type", "text_delta").put("text", grow.text());
+                        });
             } else if (event instanceof ReplyEvent.Seal seal) {
-                delta(seal.part(), JSON.objectNode().put("type", "signature_delta")
-                        .put("signature", seal.seal()));
+                delta(
+                        seal.part(),
+                        JSON.objectNode().put("type", "signature_delta").put("signature", seal.seal()));
             } else if (event instanceof ReplyEvent.Close close) {
-                send("content_block_stop", JSON.objectNode().put("type", "content_block_stop")
-                        .put("index", close.part()));
+                send(
+                        "content_block_stop",
+                        JSON.objectNode().put("type", "content_block_stop").put("index", close.part()));
             }
         }
 
         private void delta(int part, JsonNode delta) {
-            send("content_block_delta", JSON.objectNode().put("type", "content_block_delta").put("index",
-                    part)
-                    .set("delta", delta));
+            send(
+                    "content_block_delta",
+                    JSON.objectNode()
+                            .put("type", "content_block_delta")
+                            .put("index", part)
+                            .set("delta", delta));
         }
 
         private ObjectNode message() {
-            return JSON.objectNode().put("id", "msg_" + identity.id).put("type", "message")
-                    .put("role", "assistant").put("model", identity.model);
+            return JSON.objectNode()
+                    .put("id", "msg_" + identity.id)
+                    .put("type", "message")
+                    .put("role", "assistant")
+                    .put("model", identity.model);
         }
 
         /** This format counts what was found kept apart from the rest of the prompt. */
         private ObjectNode tokens() {
             long cached = Math.max(0, usage.cached());
-            return JSON.objectNode().put("input_tokens", Math.max(0, usage.prompt() - cached))
-                    .put("cache_read_input_tokens", cached).put("output_tokens", Math.max(0, usage.output()));
+            return JSON.objectNode()
+                    .put("input_tokens", Math.max(0, usage.prompt() - cached))
+                    .put("cache_read_input_tokens", cached)
+                    .put("output_tokens", Math.max(0, usage.output()));
         }
 
         private static String reason(Reason reason) {
@@ -700,11 +779,15 @@
             for (Piece piece : choices.get(0)) {
                 ObjectNode block = content.addObject();
                 switch (piece.open.kind()) {
-                    case CALL -> block.put("type", "tool_use").put("id", piece.open.callId())
-                            .put("name", piece.open.name()).set("input", Pieces.object(piece.text.toString(),
-                                    "arguments"));
-                    case THOUGHT -> block.put("type", "thinking").put("thinking", piece.text.toString())
-                            .put("signature", piece.seal == null ? "" : piece.seal);
+                    case CALL ->
+                        block.put("type", "tool_use")
+                                .put("id", piece.open.callId())
+                                .put("name", piece.open.name())
+                                .set("input", Pieces.object(piece.text.toString(), "arguments"));
+                    case THOUGHT ->
+                        block.put("type", "thinking")
+                                .put("thinking", piece.text.toString())
+                                .put("signature", piece.seal == null ? "" : piece.seal);
                     default -> block.put("type", "text").put("text", piece.text.toString());
                 }
             }
--- a/src/main/java/dunlinladder/dialect/Requests.java
+++ b/src/main/java/dunlinladder/dialect/Requests.java
@@ -14,22 +14,31 @@
 import java.util.Set;
 
 /**
- * Requests into the neutral model and out of it. What happens to a field is not decided here but in
- * {@link Table}, which this class carries out.
+ * Requests into the neutral model and out of it. What happens to a field is not decided here but in {@link Table},
+ * which this class carries out.
  */
 public final class Requests {
 
     /** What an operator has done with fields that a format's table does not have. */
-    public enum Unknown { PASS, DROP, REFUSE }
+    public enum Unknown {
+        PASS,
+        DROP,
+        REFUSE
+    }
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
     /** Fields that hold the conversation, by format; their codec is {@link Turns}. */
-    private static final Map<Format, Set<String>> TALK = Map.of(Format.COMPLETIONS, Set.of("prompt"),
-            Format.CHAT, Set.of("messages", "logprobs"), Format.RESPONSES, Set.of("input", "instructions"),
-            Format.MESSAGES, Set.of("messages", "system"));
+    private static final Map<Format, Set<String>> TALK = Map.of(
+            Format.COMPLETIONS,
+            Set.of("prompt"),
+            Format.CHAT,
+            Set.of("messages", "logprobs"),
+            Format.RESPONSES,
+            Set.of("input", "instructions"),
+            Format.MESSAGES,
+            Set.of("messages", "system"));
 
-    private Requests() {
-    }
+    private Requests() {}
 
     /**
      * Reads a request.
@@ -71,8 +80,7 @@
                 others.put(name, value);
             }
         });
-        if (from == Format.CHAT && body.path("logprobs").asBoolean()
-                && !settings.containsKey(Setting.LOGPROBS)) {
+        if (from == Format.CHAT && body.path("logprobs").asBoolean() && !settings.containsKey(Setting.LOGPROBS)) {
             settings.put(Setting.LOGPROBS, IntNode.valueOf(0));
         }
         if (!settings.containsKey(Setting.MODEL)) {
@@ -94,7 +102,8 @@
     /** An older name gives way to the newer one beside it. */
     private static void take(Fields.Field field, JsonNode value, Map<Setting, JsonNode> settings) {
         if (!field.shape().allows().test(value)) {
-            throw Untranslatable.malformed(field.path(), "must be " + field.shape().wants());
+            throw Untranslatable.malformed(
+                    field.path(), "must be " + field.shape().wants());
         }
         JsonNode neutral = field.shape().toNeutral().apply(value);
         if (field.alias()) {
@@ -107,9 +116,8 @@
     /**
      * Writes a request in a format.
      *
-     * @param mostOutput the bound on the answer, in tokens, where the client gives none and the format needs
-     * one
-     * @param warnings   gets a line for each field that is left out
+     * @param mostOutput the bound on the answer, in tokens, where the client gives none and the format needs one
+     * @param warnings gets a line for each field that is left out
      * @throws Untranslatable naming the client's field that the format lacks
      */
     public static ObjectNode write(Format to, Conversation talk, long mostOutput, List<String> warnings) {
@@ -118,8 +126,7 @@
         talk.settings().forEach((setting, value) -> {
             Action action = table.action(setting);
             if (setting == Setting.EFFORT && to == Format.MESSAGES && !fits(value, talk)) {
-                warnings.add(name(talk, setting)
-                        + " needs more room than max_tokens leaves and was left out");
+                warnings.add(name(talk, setting) + " needs more room than max_tokens leaves and was left out");
             } else if (action == Action.CARRIED || action == Action.CONVERTED) {
                 Fields.Field field = Fields.find(to, setting);
                 place(body, field.path(), field.shape().fromNeutral().apply(value));
@@ -132,7 +139,8 @@
         if (to == Format.MESSAGES && !body.has("max_tokens")) {
             body.put("max_tokens", mostOutput);
         }
-        if (to == Format.MESSAGES && body.path("tool_choice").size() == 1
+        if (to == Format.MESSAGES
+                && body.path("tool_choice").size() == 1
                 && body.path("tool_choice").has("disable_parallel_tool_use")) {
             ((ObjectNode) body.get("tool_choice")).put("type", "auto");
         }
@@ -161,13 +169,14 @@
     }
 
     /**
-     * The client's field that a format can't express; null where it can express all. Nothing is written, so
-     * that it may be asked for each format and request.
+     * The client's field that a format can't express; null where it can express all. Nothing is written, so that it may
+     * be asked for each format and request.
      */
     public static String lacking(Format to, Conversation talk) {
         Table table = Table.of(talk.from(), to);
         for (Map.Entry<Setting, JsonNode> entry : talk.settings().entrySet()) {
-            if (table.action(entry.getKey()) == Action.REFUSED && !entry.getKey().idle(entry.getValue())) {
+            if (table.action(entry.getKey()) == Action.REFUSED
+                    && !entry.getKey().idle(entry.getValue())) {
                 return name(talk, entry.getKey());
             }
         }
@@ -191,8 +200,8 @@
     /** Reasoning by tokens must leave room for the answer. */
     private static boolean fits(JsonNode effort, Conversation talk) {
         JsonNode thinking = Shape.THINKING.fromNeutral().apply(effort);
-        return !thinking.has("budget_tokens") || thinking.path("budget_tokens").asInt()
-                < talk.number(Setting.MAX_OUTPUT, 0);
+        return !thinking.has("budget_tokens")
+                || thinking.path("budget_tokens").asInt() < talk.number(Setting.MAX_OUTPUT, 0);
     }
 
     /** A setting's name in the client's format, for messages to it. */
@@ -213,8 +222,7 @@
             }
         } else {
             JsonNode inner = body.get(path.substring(0, dot));
-            ObjectNode object = inner instanceof ObjectNode known ? known : body.putObject(path.substring(0,
-                    dot));
+            ObjectNode object = inner instanceof ObjectNode known ? known : body.putObject(path.substring(0, dot));
             object.set(path.substring(dot + 1), value);
         }
     }
--- a/src/main/java/dunlinladder/dialect/Setting.java
+++ b/src/main/java/dunlinladder/dialect/Setting.java
@@ -4,11 +4,10 @@
 import java.util.function.Predicate;
 
 /**
- * What a request may ask for beside its conversation, whatever a format calls it. Each has one neutral shape
- * (see {@link Fields}), and says what is lost where a format has no field for it.
+ * What a request may ask for beside its conversation, whatever a format calls it. Each has one neutral shape (see
+ * {@link Fields}), and says what is lost where a format has no field for it.
  */
 public enum Setting {
-
     MODEL(Loss.REFUSE),
     STREAM(Loss.REFUSE, JsonNode::isBoolean),
     /** Whether a stream ends with its usage; the formats without the field always send it. */
@@ -36,7 +35,8 @@
     METADATA(Loss.DROP, empty()),
     STORE(Loss.DROP, no()),
     TOOLS(Loss.REFUSE, empty()),
-    TOOL_CHOICE(Loss.REFUSE, node -> node.asText().equals("none") || node.asText().equals("auto")),
+    TOOL_CHOICE(
+            Loss.REFUSE, node -> node.asText().equals("none") || node.asText().equals("auto")),
     PARALLEL_CALLS(Loss.DROP, JsonNode::asBoolean),
     OUTPUT_FORMAT(Loss.REFUSE, node -> node.path("type").asText().equals("text")),
     VERBOSITY(Loss.DROP),
--- a/src/main/java/dunlinladder/dialect/Table.java
+++ b/src/main/java/dunlinladder/dialect/Table.java
@@ -56,10 +56,15 @@
             settings.put(setting, action(setting, from, to));
         }
         for (Part.Kind kind : Part.Kind.values()) {
-            parts.put(kind, !CARRY.get(kind).contains(from) ? Action.ABSENT
-                    : CARRY.get(kind).contains(to) ? from == to ? Action.CARRIED : Action.CONVERTED
-                    : kind == Part.Kind.THOUGHT ? Action.DROPPED
-                    : kind == Part.Kind.REFUSAL ? Action.CONVERTED : Action.REFUSED);
+            parts.put(
+                    kind,
+                    !CARRY.get(kind).contains(from)
+                            ? Action.ABSENT
+                            : CARRY.get(kind).contains(to)
+                                    ? from == to ? Action.CARRIED : Action.CONVERTED
+                                    : kind == Part.Kind.THOUGHT
+                                            ? Action.DROPPED
+                                            : kind == Part.Kind.REFUSAL ? Action.CONVERTED : Action.REFUSED);
         }
     }
 
@@ -70,7 +75,8 @@
             return Action.ABSENT;
         }
         if (there != null) {
-            return here.path().equals(there.path()) && here.shape() == there.shape() ? Action.CARRIED
+            return here.path().equals(there.path()) && here.shape() == there.shape()
+                    ? Action.CARRIED
                     : Action.CONVERTED;
         }
         return switch (setting.loss()) {
@@ -113,26 +119,37 @@
             for (Format to : Format.values()) {
                 page.append(" to `").append(to.key()).append("` |");
             }
-            page.append("\n| --- |").append(" --- |".repeat(Format.values().length)).append('\n');
+            page.append("\n| --- |")
+                    .append(" --- |".repeat(Format.values().length))
+                    .append('\n');
             for (Fields.Field field : Fields.of(from)) {
-                page.append("| `").append(field.path()).append('`').append(field.alias() ? " (older)" : "")
+                page.append("| `")
+                        .append(field.path())
+                        .append('`')
+                        .append(field.alias() ? " (older)" : "")
                         .append(" |");
                 for (Format to : Format.values()) {
                     Fields.Field there = Fields.find(to, field.setting());
                     Action action = of(from, to).action(field.setting());
-                    page.append(there == null ? "" : " `" + there.path() + "`").append(' ')
-                            .append(field.alias() && action == Action.CARRIED ? "converted"
-                                    : action.name().toLowerCase(Locale.ROOT)).append(" |");
+                    page.append(there == null ? "" : " `" + there.path() + "`")
+                            .append(' ')
+                            .append(
+                                    field.alias() && action == Action.CARRIED
+                                            ? "converted"
+                                            : action.name().toLowerCase(Locale.ROOT))
+                            .append(" |");
                 }
                 page.append('\n');
             }
             for (Part.Kind kind : Part.Kind.values()) {
                 if (of(from, from).action(kind) != Action.ABSENT) {
-                    page.append("| part ").append(kind.name().toLowerCase(Locale.ROOT))
+                    page.append("| part ")
+                            .append(kind.name().toLowerCase(Locale.ROOT))
                             .append(" |");
                     for (Format to : Format.values()) {
-                        page.append(' ').append(of(from, to).action(kind).name()
-                                .toLowerCase(Locale.ROOT)).append(" |");
+                        page.append(' ')
+                                .append(of(from, to).action(kind).name().toLowerCase(Locale.ROOT))
+                                .append(" |");
                     }
                     page.append('\n');
                 }
--- a/src/main/java/dunlinladder/dialect/Translation.java
+++ b/src/main/java/dunlinladder/dialect/Translation.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * One answer on its way from an engine's format to a client's: bytes of events in, text for the client out.
- * Whole answers are gathered and given at the end.
+ * One answer on its way from an engine's format to a client's: bytes of events in, text for the client out. Whole
+ * answers are gathered and given at the end.
  */
 public final class Translation {
 
@@ -17,7 +17,7 @@
     private final boolean stream;
     private final EventReader cutter = new EventReader(this::event);
     private final List<ReplyEvent> gathered = new ArrayList<>();
-    private Consumer<String> out = text -> { };
+    private Consumer<String> out = text -> {};
     private Fault fault;
     private boolean whole;
 
--- a/src/main/java/dunlinladder/dialect/Turn.java
+++ b/src/main/java/dunlinladder/dialect/Turn.java
@@ -6,7 +6,12 @@
 public record Turn(Role role, List<Part> parts, String name) {
 
     /** Who speaks. */
-    public enum Role { SYSTEM, USER, ASSISTANT, TOOL }
+    public enum Role {
+        SYSTEM,
+        USER,
+        ASSISTANT,
+        TOOL
+    }
 
     /** Copies the parts. */
     public Turn {
--- a/src/main/java/dunlinladder/dialect/Turns.java
+++ b/src/main/java/dunlinladder/dialect/Turns.java
@@ -14,17 +14,15 @@
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
-    private Turns() {
-    }
+    private Turns() {}
 
     // ---- Reading ----
 
     static List<Turn> read(Format from, JsonNode body) {
         List<Turn> turns = new ArrayList<>();
         switch (from) {
-            case COMPLETIONS -> turns.add(new Turn(Role.USER,
-                    List.of(new Part.Text(prompt(body.path("prompt")))),
-                    null));
+            case COMPLETIONS ->
+                turns.add(new Turn(Role.USER, List.of(new Part.Text(prompt(body.path("prompt")))), null));
             case CHAT -> list(body, "messages").forEach(message -> turns.add(chat(message)));
             case RESPONSES -> responses(body, turns);
             case MESSAGES -> {
@@ -49,9 +47,9 @@
     private static String prompt(JsonNode prompt) {
         JsonNode one = prompt.isArray() && prompt.size() == 1 ? prompt.get(0) : prompt;
         if (!one.isTextual()) {
-            throw Untranslatable.malformed("prompt",
-                    "must be a string, or a list with one: prompts are neither "
-                    + "taken in batches nor as tokens");
+            throw Untranslatable.malformed(
+                    "prompt",
+                    "must be a string, or a list with one: prompts are neither " + "taken in batches nor as tokens");
         }
         return one.asText();
     }
@@ -67,11 +65,9 @@
         };
         String author = message.hasNonNull("name") ? message.get("name").asText() : null;
         if (role == Role.TOOL) {
-            String id = name.equals("function") ? "call_" + author : text(message, "tool_call_id",
-                    "messages");
-            return new Turn(role, List.of(new Part.Result(id, flat(message.path("content"),
-                    "messages.content"),
-                    false)), null);
+            String id = name.equals("function") ? "call_" + author : text(message, "tool_call_id", "messages");
+            return new Turn(
+                    role, List.of(new Part.Result(id, flat(message.path("content"), "messages.content"), false)), null);
         }
         List<Part> parts = new ArrayList<>();
         if (message.hasNonNull("content")) {
@@ -84,14 +80,16 @@
         }
         for (JsonNode call : message.path("tool_calls")) {
             JsonNode function = call.path("function");
-            parts.add(new Part.Call(text(call, "id", "messages.tool_calls"),
+            parts.add(new Part.Call(
+                    text(call, "id", "messages.tool_calls"),
                     text(function, "name", "messages.tool_calls.function"),
                     function.path("arguments").asText("{}")));
         }
         if (message.hasNonNull("function_call")) {
             JsonNode call = message.get("function_call");
             String called = text(call, "name", "messages.function_call");
-            parts.add(new Part.Call("call_" + called, called, call.path("arguments").asText("{}")));
+            parts.add(new Part.Call(
+                    "call_" + called, called, call.path("arguments").asText("{}")));
         }
         return new Turn(role, parts, author);
     }
@@ -116,33 +114,43 @@
         return switch (type) {
             case "text", "input_text", "output_text" -> new Part.Text(text(part, "text", where));
             case "refusal" -> new Part.Refusal(text(part, "refusal", where));
-            case "image_url" -> new Part.Image(text(part.path("image_url"), "url", where + ".image_url"),
-                    part.path("image_url").path("detail").asText(null));
-            case "input_image" -> new Part.Image(text(part, "image_url", where),
-                    part.path("detail").asText(null));
+            case "image_url" ->
+                new Part.Image(
+                        text(part.path("image_url"), "url", where + ".image_url"),
+                        part.path("image_url").path("detail").asText(null));
+            case "input_image" ->
+                new Part.Image(
+                        text(part, "image_url", where), part.path("detail").asText(null));
             case "image" -> new Part.Image(source(part.path("source"), where), null);
-            case "input_audio" -> new Part.Audio(text(part.path("input_audio"), "data", where
-                    + ".input_audio"),
-                    part.path("input_audio").path("format").asText("wav"));
+            case "input_audio" ->
+                new Part.Audio(
+                        text(part.path("input_audio"), "data", where + ".input_audio"),
+                        part.path("input_audio").path("format").asText("wav"));
             case "file" -> file(part.path("file"));
             case "input_file" -> file(part);
-            case "document" -> new Part.File(part.path("title").asText(null), source(part.path("source"),
-                    where),
-                    null);
-            case "tool_use" -> new Part.Call(text(part, "id", where), text(part, "name", where),
-                    part.path("input").toString());
-            case "tool_result" -> new Part.Result(text(part, "tool_use_id", where),
-                    part.has("content") ? flat(part.get("content"), where + ".content") : "",
-                    part.path("is_error").asBoolean());
-            case "thinking" -> new Part.Thought(part.path("thinking").asText(),
-                    part.path("signature").asText(null));
+            case "document" -> new Part.File(part.path("title").asText(null), source(part.path("source"), where), null);
+            case "tool_use" ->
+                new Part.Call(
+                        text(part, "id", where),
+                        text(part, "name", where),
+                        part.path("input").toString());
+            case "tool_result" ->
+                new Part.Result(
+                        text(part, "tool_use_id", where),
+                        part.has("content") ? flat(part.get("content"), where + ".content") : "",
+                        part.path("is_error").asBoolean());
+            case "thinking" ->
+                new Part.Thought(
+                        part.path("thinking").asText(), part.path("signature").asText(null));
             case "redacted_thinking" -> new Part.Thought("", part.path("data").asText(null));
             default -> throw Untranslatable.malformed(where + ".type", "is not known: " + type);
         };
     }
 
     private static Part file(JsonNode file) {
-        return new Part.File(file.path("filename").asText(null), file.path("file_data").asText(null),
+        return new Part.File(
+                file.path("filename").asText(null),
+                file.path("file_data").asText(null),
                 file.path("file_id").asText(null));
     }
 
@@ -150,8 +158,9 @@
     private static String source(JsonNode source, String where) {
         return switch (source.path("type").asText()) {
             case "url" -> text(source, "url", where + ".source");
-            case "base64" -> "data:" + text(source, "media_type", where + ".source") + ";base64,"
-                    + text(source, "data", where + ".source");
+            case "base64" ->
+                "data:" + text(source, "media_type", where + ".source") + ";base64,"
+                        + text(source, "data", where + ".source");
             case "text" -> "data:text/plain," + text(source, "data", where + ".source");
             default -> throw Untranslatable.malformed(where + ".source.type", "must be url, base64 or text");
         };
@@ -178,8 +187,7 @@
 
     private static void responses(JsonNode body, List<Turn> turns) {
         if (body.hasNonNull("instructions")) {
-            turns.add(new Turn(Role.SYSTEM, List.of(new Part.Text(text(body, "instructions", "body"))),
-                    null));
+            turns.add(new Turn(Role.SYSTEM, List.of(new Part.Text(text(body, "instructions", "body"))), null));
         }
         JsonNode input = body.path("input");
         if (input.isTextual()) {
@@ -188,25 +196,42 @@
         }
         for (JsonNode item : list(body, "input")) {
             switch (item.path("type").asText("message")) {
-                case "message" -> turns.add(new Turn(switch (item.path("role").asText()) {
-                    case "system", "developer" -> Role.SYSTEM;
-                    case "user" -> Role.USER;
-                    case "assistant" -> Role.ASSISTANT;
-                    default -> throw Untranslatable.malformed("input.role", "is not known");
-                }, parts(item.path("content"), "input.content"), null));
-                case "function_call" -> join(turns, new Part.Call(text(item, "call_id", "input"),
-                        text(item, "name", "input"), item.path("arguments").asText("{}")));
-                case "function_call_output" -> turns.add(new Turn(Role.TOOL, List.of(new Part.Result(
-                        text(item, "call_id", "input"), flat(item.path("output"), "input.output"), false)),
-                        null));
+                case "message" ->
+                    turns.add(new Turn(
+                            switch (item.path("role").asText()) {
+                                case "system", "developer" -> Role.SYSTEM;
+                                case "user" -> Role.USER;
+                                case "assistant" -> Role.ASSISTANT;
+                                default -> throw Untranslatable.malformed("input.role", "is not known");
+                            },
+                            parts(item.path("content"), "input.content"),
+                            null));
+                case "function_call" ->
+                    join(
+                            turns,
+                            new Part.Call(
+                                    text(item, "call_id", "input"),
+                                    text(item, "name", "input"),
+                                    item.path("arguments").asText("{}")));
+                case "function_call_output" ->
+                    turns.add(new Turn(
+                            Role.TOOL,
+                            List.of(new Part.Result(
+                                    text(item, "call_id", "input"), flat(item.path("output"), "input.output"), false)),
+                            null));
                 case "reasoning" -> {
                     StringBuilder summary = new StringBuilder();
-                    item.path("summary").forEach(piece -> summary.append(piece.path("text").asText()));
-                    join(turns, new Part.Thought(summary.toString(),
-                            item.path("encrypted_content").asText(null)));
+                    item.path("summary")
+                            .forEach(piece -> summary.append(piece.path("text").asText()));
+                    join(
+                            turns,
+                            new Part.Thought(
+                                    summary.toString(),
+                                    item.path("encrypted_content").asText(null)));
                 }
-                default -> throw Untranslatable.malformed("input.type", "is not known: "
-                        + item.path("type").asText());
+                default ->
+                    throw Untranslatable.malformed(
+                            "input.type", "is not known: " + item.path("type").asText());
             }
         }
     }
@@ -230,8 +255,7 @@
         }
         List<Part> parts = parts(message.path("content"), "messages.content");
         boolean results = parts.stream().anyMatch(part -> part.kind() == Part.Kind.RESULT);
-        return new Turn(name.equals("assistant") ? Role.ASSISTANT : results ? Role.TOOL : Role.USER, parts,
-                null);
+        return new Turn(name.equals("assistant") ? Role.ASSISTANT : results ? Role.TOOL : Role.USER, parts, null);
     }
 
     // ---- Writing ----
@@ -244,8 +268,8 @@
             for (Part part : turn.parts()) {
                 switch (table.action(part.kind())) {
                     case REFUSED -> throw Untranslatable.lacking(named(talk.from(), part.kind()), to);
-                    case DROPPED -> warnings.add("a part of type " + part.kind().name()
-                            .toLowerCase(Locale.ROOT) + " was left out");
+                    case DROPPED ->
+                        warnings.add("a part of type " + part.kind().name().toLowerCase(Locale.ROOT) + " was left out");
                     default -> parts.add(part);
                 }
             }
@@ -279,12 +303,15 @@
         warnings.add("the messages were joined into one prompt");
         StringBuilder prompt = new StringBuilder();
         for (Turn turn : turns) {
-            prompt.append(switch (turn.role()) {
-                case SYSTEM -> "";
-                case USER -> "User: ";
-                case ASSISTANT -> "Assistant: ";
-                case TOOL -> "Tool: ";
-            }).append(turn.text()).append("\n\n");
+            prompt.append(
+                            switch (turn.role()) {
+                                case SYSTEM -> "";
+                                case USER -> "User: ";
+                                case ASSISTANT -> "Assistant: ";
+                                case TOOL -> "Tool: ";
+                            })
+                    .append(turn.text())
+                    .append("\n\n");
         }
         return prompt.append("Assistant:").toString();
     }
@@ -294,24 +321,34 @@
         for (Turn turn : turns) {
             for (Part part : turn.parts()) {
                 if (part instanceof Part.Result result) {
-                    messages.addObject().put("role", "tool").put("tool_call_id", result.callId())
+                    messages.addObject()
+                            .put("role", "tool")
+                            .put("tool_call_id", result.callId())
                             .put("content", result.error() ? "Error: " + result.text() : result.text());
                 }
             }
-            List<Part> others = turn.parts().stream().filter(p -> p.kind() != Part.Kind.RESULT).toList();
+            List<Part> others = turn.parts().stream()
+                    .filter(p -> p.kind() != Part.Kind.RESULT)
+                    .toList();
             if (others.isEmpty() && turn.role() == Role.TOOL) {
                 continue;
             }
-            ObjectNode message = messages.addObject().put("role", switch (turn.role()) {
-                case SYSTEM -> "system";
-                case ASSISTANT -> "assistant";
-                default -> "user";
-            });
+            ObjectNode message = messages.addObject()
+                    .put(
+                            "role",
+                            switch (turn.role()) {
+                                case SYSTEM -> "system";
+                                case ASSISTANT -> "assistant";
+                                default -> "user";
+                            });
             ArrayNode content = JSON.arrayNode();
             for (Part part : others) {
                 if (part instanceof Part.Call call) {
-                    ObjectNode function = message.withArray("tool_calls").addObject().put("id", call.id())
-                            .put("type", "function").putObject("function");
+                    ObjectNode function = message.withArray("tool_calls")
+                            .addObject()
+                            .put("id", call.id())
+                            .put("type", "function")
+                            .putObject("function");
                     function.put("name", call.name()).put("arguments", call.arguments());
                 } else if (part instanceof Part.Refusal refusal) {
                     message.put("refusal", refusal.text());
@@ -319,9 +356,9 @@
                     content.add(chatPart(part));
                 }
             }
-            boolean plain = content.size() == 1 && content.get(0).path("type").asText().equals("text");
-            message.set("content", plain ? content.get(0).get("text")
-                    : content.isEmpty() ? JSON.nullNode() : content);
+            boolean plain =
+                    content.size() == 1 && content.get(0).path("type").asText().equals("text");
+            message.set("content", plain ? content.get(0).get("text") : content.isEmpty() ? JSON.nullNode() : content);
             if (turn.name() != null) {
                 message.put("name", turn.name());
             }
@@ -331,12 +368,15 @@
     private static ObjectNode chatPart(Part part) {
         ObjectNode node = JSON.objectNode();
         if (part instanceof Part.Image image) {
-            ObjectNode url = node.put("type", "image_url").putObject("image_url").put("url", image.url());
+            ObjectNode url =
+                    node.put("type", "image_url").putObject("image_url").put("url", image.url());
             if (image.detail() != null) {
                 url.put("detail", image.detail());
             }
         } else if (part instanceof Part.Audio audio) {
-            node.put("type", "input_audio").putObject("input_audio").put("data", audio.data())
+            node.put("type", "input_audio")
+                    .putObject("input_audio")
+                    .put("data", audio.data())
                     .put("format", audio.format());
         } else if (part instanceof Part.File file) {
             file(node.put("type", "file").putObject("file"), file);
@@ -372,10 +412,14 @@
             List<ObjectNode> items = new ArrayList<>();
             for (Part part : turn.parts()) {
                 if (part instanceof Part.Call call) {
-                    items.add(JSON.objectNode().put("type", "function_call").put("call_id", call.id())
-                            .put("name", call.name()).put("arguments", call.arguments()));
+                    items.add(JSON.objectNode()
+                            .put("type", "function_call")
+                            .put("call_id", call.id())
+                            .put("name", call.name())
+                            .put("arguments", call.arguments()));
                 } else if (part instanceof Part.Result result) {
-                    items.add(JSON.objectNode().put("type", "function_call_output")
+                    items.add(JSON.objectNode()
+                            .put("type", "function_call_output")
                             .put("call_id", result.callId())
                             .put("output", result.error() ? "Error: " + result.text() : result.text()));
                 } else if (part instanceof Part.Thought thought) {
@@ -393,11 +437,16 @@
                 }
             }
             if (!content.isEmpty()) {
-                input.addObject().put("type", "message").put("role", switch (turn.role()) {
-                    case SYSTEM -> "developer";
-                    case ASSISTANT -> "assistant";
-                    default -> "user";
-                }).set("content", content);
+                input.addObject()
+                        .put("type", "message")
+                        .put(
+                                "role",
+                                switch (turn.role()) {
+                                    case SYSTEM -> "developer";
+                                    case ASSISTANT -> "assistant";
+                                    default -> "user";
+                                })
+                        .set("content", content);
             }
             items.forEach(input::add);
         }
@@ -419,8 +468,8 @@
         } else if (part instanceof Part.Refusal refusal) {
             node.put("type", "refusal").put("refusal", refusal.text());
         } else {
-            node.put("type", role == Role.ASSISTANT ? "output_text" : "input_text").put("text",
-                    ((Part.Text) part).text());
+            node.put("type", role == Role.ASSISTANT ? "output_text" : "input_text")
+                    .put("text", ((Part.Text) part).text());
         }
         return node;
     }
@@ -465,7 +514,9 @@
                 node.put("title", file.name());
             }
         } else if (part instanceof Part.Call call) {
-            node.put("type", "tool_use").put("id", call.id()).put("name", call.name())
+            node.put("type", "tool_use")
+                    .put("id", call.id())
+                    .put("name", call.name())
                     .set("input", Pieces.object(call.arguments(), "messages.tool_calls.function.arguments"));
         } else if (part instanceof Part.Result result) {
             node.put("type", "tool_result").put("tool_use_id", result.callId()).put("content", result.text());
@@ -482,8 +533,8 @@
                 }
             }
         } else {
-            node.put("type", "text").put("text", part instanceof Part.Refusal refusal ? refusal.text()
-                    : ((Part.Text) part).text());
+            node.put("type", "text")
+                    .put("text", part instanceof Part.Refusal refusal ? refusal.text() : ((Part.Text) part).text());
         }
         return node;
     }
@@ -492,11 +543,12 @@
         ObjectNode source = JSON.objectNode();
         int comma = url.indexOf(',');
         if (url.startsWith("data:") && comma > 0 && url.substring(0, comma).endsWith(";base64")) {
-            return source.put("type", "base64").put("media_type", url.substring(5, comma - 7))
+            return source.put("type", "base64")
+                    .put("media_type", url.substring(5, comma - 7))
                     .put("data", url.substring(comma + 1));
         }
-        return url.startsWith("data:text/plain,") ? source.put("type", "text").put("media_type", "text/plain")
-                .put("data", url.substring(comma + 1)) : source.put("type", "url").put("url", url);
+        return url.startsWith("data:text/plain,")
+                ? source.put("type", "text").put("media_type", "text/plain").put("data", url.substring(comma + 1))
+                : source.put("type", "url").put("url", url);
     }
-
 }
--- a/src/main/java/dunlinladder/dialect/Untranslatable.java
+++ b/src/main/java/dunlinladder/dialect/Untranslatable.java
@@ -21,8 +21,10 @@
 
     /** The field is in order, but the other format has nothing like it. */
     public static Untranslatable lacking(String field, Format to) {
-        return new Untranslatable(field, field + " can't be expressed in the format " + to.key()
-                + " that the model's servers speak", false);
+        return new Untranslatable(
+                field,
+                field + " can't be expressed in the format " + to.key() + " that the model's servers speak",
+                false);
     }
 
     /** The faulty field, as its format calls it. */
--- a/src/main/java/dunlinladder/generation/Evidence.java
+++ b/src/main/java/dunlinladder/generation/Evidence.java
@@ -6,9 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * What engines' answers show of whether they speak the format that the operator's file says. One that shows
- * that it does not is left out, and tried again rarely and only with a request that may be repeated. What is
- * known of an engine ends with its process, and all of it with the gateway's: a restart goes by the file.
+ * What engines' answers show of whether they speak the format that the operator's file says. One that shows that it
+ * does not is left out, and tried again rarely and only with a request that may be repeated. What is known of an engine
+ * ends with its process, and all of it with the gateway's: a restart goes by the file.
  *
  * <p>Time is handed in, in seconds; not safe for use by several threads at once.
  */
@@ -30,8 +30,8 @@
      * Creates empty evidence.
      *
      * @param firstSeconds until an engine that was left out is tried again; doubled each time
-     * @param mostSeconds  the longest such wait
-     * @param seed         spreads the trials of many gateways
+     * @param mostSeconds the longest such wait
+     * @param seed spreads the trials of many gateways
      */
     public Evidence(double firstSeconds, double mostSeconds, long seed) {
         this.firstSeconds = firstSeconds;
@@ -42,8 +42,7 @@
     /** Whether an engine may get a request now; {@code safe} is one that may run again. */
     public boolean may(String engine, double startedAt, boolean safe, double now) {
         Standing standing = of(engine, startedAt);
-        return standing == null || standing.misses == 0
-                || safe && !standing.trialOut && now >= standing.barredUntil;
+        return standing == null || standing.misses == 0 || safe && !standing.trialOut && now >= standing.barredUntil;
     }
 
     /** A request goes to an engine; true when it is a trial of one that was left out. */
--- a/src/main/java/dunlinladder/generation/Generation.java
+++ b/src/main/java/dunlinladder/generation/Generation.java
@@ -10,7 +10,7 @@
  *
  * @param kinds machine kinds, empty for all
  * @param zones halls, empty for all
- * @param ids   what an engine's id must match in full, null for any
+ * @param ids what an engine's id must match in full, null for any
  */
 public record Generation(String name, Format format, Set<Integer> kinds, Set<Integer> zones, Pattern ids) {
 
--- a/src/main/java/dunlinladder/generation/Progress.java
+++ b/src/main/java/dunlinladder/generation/Progress.java
@@ -9,17 +9,20 @@
 import java.util.Random;
 
 /**
- * How far a move has come, as one gateway sees it. A stage that goes well for its time opens the next; one
- * that does not ends the move there, or goes back and tries again after ever longer waits. Gateways share
- * nothing: each opens a stage a little later than its time, by chance, so that no engine gets the first
- * requests of all at once.
+ * How far a move has come, as one gateway sees it. A stage that goes well for its time opens the next; one that does
+ * not ends the move there, or goes back and tries again after ever longer waits. Gateways share nothing: each opens a
+ * stage a little later than its time, by chance, so that no engine gets the first requests of all at once.
  *
  * <p>Time is handed in, in seconds; not safe for use by several threads at once.
  */
 public final class Progress {
 
     /** Where a move stands. */
-    public enum State { MOVING, STOPPED, DONE }
+    public enum State {
+        MOVING,
+        STOPPED,
+        DONE
+    }
 
     /** Answers whose delays are remembered, of each generation. */
     private static final int DELAYS = 256;
@@ -177,10 +180,10 @@
         if (young.failedShare() > stop.failed() + old.failedShare()) {
             return "failed " + young.failed + " of " + young.answers;
         }
-        if (old.delays.size() >= stop.least() && young.delays.size() >= stop.least()
+        if (old.delays.size() >= stop.least()
+                && young.delays.size() >= stop.least()
                 && young.median() > stop.delay() * old.median()) {
-            return String.format(Locale.ROOT, "first token after %.3f s against %.3f s",
-                    young.median(), old.median());
+            return String.format(Locale.ROOT, "first token after %.3f s against %.3f s", young.median(), old.median());
         }
         return null;
     }
--- a/src/main/java/dunlinladder/generation/Routing.java
+++ b/src/main/java/dunlinladder/generation/Routing.java
@@ -17,8 +17,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Which engine may have which request, and in which format: by the operator's generations, the stage of a
- * move, the request's needs, and the evidence. The decision module chooses among the engines that are left.
+ * Which engine may have which request, and in which format: by the operator's generations, the stage of a move, the
+ * request's needs, and the evidence. The decision module chooses among the engines that are left.
  *
  * <p>Time is handed in, in clock seconds. Safe for use by several threads.
  */
@@ -26,6 +26,7 @@
 
     /** First and longest wait until an engine that does not speak its format is tried again, in seconds. */
     private static final double TRIAL_FIRST = 5;
+
     private static final double TRIAL_MOST = 300;
     /** For which engines stay sorted into generations; the list changes more rarely. */
     private static final double ASSIGN_SECONDS = 0.05;
@@ -41,10 +42,9 @@
     private final Evidence evidence;
     private final Supplier<Collection<Engine>> list;
     private final ToIntFunction<Engine> stages;
-    /**
-     * The generation of each listed engine, and what the engines of each can do, as of {@code assignedAt}.
-     */
+    /** The generation of each listed engine, and what the engines of each can do, as of {@code assignedAt}. */
     private final Map<String, Generation> assigned = new HashMap<>();
+
     private final Map<Generation, Integer> covered = new HashMap<>();
     private double assignedAt = Double.NEGATIVE_INFINITY;
     private int assignedStage = -1;
@@ -87,12 +87,17 @@
     /**
      * Creates the routing.
      *
-     * @param move   null where the fleet stays as it is
-     * @param list   the engines that are listed now
+     * @param move null where the fleet stays as it is
+     * @param list the engines that are listed now
      * @param stages what an engine does: {@link #READS}, {@link #WRITES} or their sum
      */
-    public Routing(List<Generation> generations, Move move, Supplier<Collection<Engine>> list,
-            ToIntFunction<Engine> stages, long seed, double now) {
+    public Routing(
+            List<Generation> generations,
+            Move move,
+            Supplier<Collection<Engine>> list,
+            ToIntFunction<Engine> stages,
+            long seed,
+            double now) {
         this.list = list;
         this.stages = stages;
         this.generations = List.copyOf(generations);
@@ -109,13 +114,14 @@
     /** The generation of an engine now; empty where the file counts it in none. */
     public synchronized Optional<Generation> of(Engine engine) {
         Generation known = assigned.get(engine.id());
-        return known != null ? Optional.of(known)
+        return known != null
+                ? Optional.of(known)
                 : generations.stream().filter(g -> g.holds(engine)).findFirst();
     }
 
     /**
-     * Sorts the engines into their generations: of those that are to move, in each kind the first by a fixed
-     * order, so that all gateways settle on the same ones and each kind moves by the stage's share.
+     * Sorts the engines into their generations: of those that are to move, in each kind the first by a fixed order, so
+     * that all gateways settle on the same ones and each kind moves by the stage's share.
      */
     private void assign(double now) {
         int stage = move == null ? 0 : progress.number();
@@ -131,7 +137,8 @@
             generations.stream().filter(g -> g.holds(engine)).findFirst().ifPresent(generation -> {
                 assigned.put(engine.id(), generation);
                 if (move != null && generation.name().equals(move.from())) {
-                    leaving.computeIfAbsent(engine.kind(), k -> new ArrayList<>()).add(engine);
+                    leaving.computeIfAbsent(engine.kind(), k -> new ArrayList<>())
+                            .add(engine);
                 }
             });
         }
@@ -156,7 +163,10 @@
 
     /** The generation of that name. */
     public Generation named(String name) {
-        return generations.stream().filter(g -> g.name().equals(name)).findFirst().orElseThrow();
+        return generations.stream()
+                .filter(g -> g.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Whether an engine may have a request now. */
@@ -165,7 +175,8 @@
         Generation generation = of(engine).orElse(null);
         // A reader begins anew, whatever was read before and may be lost.
         boolean writes = stages.applyAsInt(engine) != READS;
-        if (generation == null || ask.lacking(generation.format()) != null
+        if (generation == null
+                || ask.lacking(generation.format()) != null
                 || writes && ask.readBy() != null && !ask.readBy().equals(generation.name())
                 || !evidence.may(key(engine), engine.startedAt(), ask.safe, now)) {
             return false;
@@ -187,8 +198,8 @@
     }
 
     /**
-     * The client's field for which no engine of the list may have a request, whatever the load: then it is
-     * told at once. Empty where some engine may, or where none may for other reasons.
+     * The client's field for which no engine of the list may have a request, whatever the load: then it is told at
+     * once. Empty where some engine may, or where none may for other reasons.
      */
     public synchronized Optional<String> hopeless(Ask ask, double now) {
         assign(now);
@@ -220,10 +231,9 @@
      * An attempt at an engine ended.
      *
      * @param understood whether the answer shows that the engine speaks its format
-     * @param delay      seconds to the first token, NaN where there was none
+     * @param delay seconds to the first token, NaN where there was none
      */
-    public synchronized void ended(Engine engine, boolean understood, boolean failed, double delay,
-            double now) {
+    public synchronized void ended(Engine engine, boolean understood, boolean failed, double delay, double now) {
         if (understood) {
             evidence.understood(key(engine));
         } else {
@@ -253,10 +263,12 @@
 
     /** One line on where things stand, for the log. */
     public synchronized String standing() {
-        return move == null ? "barred=" + evidence.barred() : "move=" + move.from() + ">" + move.to()
-                + " stage="
-                + progress.number() + " state=" + progress.state() + " barred=" + evidence.barred()
-                + (progress.reason().isEmpty() ? "" : " reason=\"" + progress.reason() + "\"");
+        return move == null
+                ? "barred=" + evidence.barred()
+                : "move=" + move.from() + ">" + move.to()
+                        + " stage="
+                        + progress.number() + " state=" + progress.state() + " barred=" + evidence.barred()
+                        + (progress.reason().isEmpty() ? "" : " reason=\"" + progress.reason() + "\"");
     }
 
     /** A name's fixed place between 0 and 1, the same at every gateway. */
--- a/src/main/java/dunlinladder/lifecycle/Config.java
+++ b/src/main/java/dunlinladder/lifecycle/Config.java
@@ -17,9 +17,20 @@
 import org.slf4j.LoggerFactory;
 
 /** The gateway's configuration: read, checked and given defaults here and nowhere else. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, Json known,
-        Router.Settings settings, List<String> classes, List<Double> deadlines, List<String> tenants,
-        List<String> zones, List<String> kinds, Limits limits, Timing list) {
+record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        Json known,
+        Router.Settings settings,
+        List<String> classes,
+        List<Double> deadlines,
+        List<String> tenants,
+        List<String> zones,
+        List<String> kinds,
+        Limits limits,
+        Timing list) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Config.class);
     /** Descriptors kept for the program itself: files, selectors, the watch, listeners. */
@@ -43,8 +54,8 @@
     }
 
     /**
-     * Reads the file again while the gateway runs, with the same checks. What the file says of discovery now
-     * goes before the environment, which still names the address of the start.
+     * Reads the file again while the gateway runs, with the same checks. What the file says of discovery now goes
+     * before the environment, which still names the address of the start.
      */
     static Config reread(Map<String, String> environment) {
         Map<String, String> start = new HashMap<>(environment);
@@ -67,31 +78,62 @@
         if (!unknown.isEmpty()) {
             LOG.warn("fields that are not known are left aside: {}", String.join(", ", unknown));
         }
-        Limits limits = new Limits(256 * 1024, bodies, 16 * 1024, 1024 * 1024, 64 * 1024, 16, 4096,
+        Limits limits = new Limits(
+                256 * 1024,
+                bodies,
+                16 * 1024,
+                1024 * 1024,
+                64 * 1024,
+                16,
+                4096,
                 Math.min(Math.min(each, 2 * memory), caps.whole("most-held", each, 1, Integer.MAX_VALUE)),
-                each, each, positive(caps, "connect-timeout", 0.25), keepalive / 3, 0.02,
-                30, 4, 0.15, 8, 0.02, router.maxRetryAfter() > 0 ? router.maxRetryAfter() : 1, 2.5, 0.04, 10,
-                0.1, 0.6, 0.05, lag(router));
+                each,
+                each,
+                positive(caps, "connect-timeout", 0.25),
+                keepalive / 3,
+                0.02,
+                30,
+                4,
+                0.15,
+                8,
+                0.02,
+                router.maxRetryAfter() > 0 ? router.maxRetryAfter() : 1,
+                2.5,
+                0.04,
+                10,
+                0.1,
+                0.6,
+                0.05,
+                lag(router));
         List<Json> classes = settings.children("classes");
         List<Json> projects = SettingsReader.projects(settings);
-        return new Config(environment.getOrDefault("RELAY_NAME", file.text("name", "gateway")),
+        return new Config(
+                environment.getOrDefault("RELAY_NAME", file.text("name", "gateway")),
                 address(environment.getOrDefault("RELAY_LISTEN", file.text("listen", null)), "listen"),
-                address(environment.getOrDefault("RELAY_DISCOVERY", file.text("discovery", null)),
-                        "discovery"),
-                seed(file), file.childOrEmpty("known"), router,
-                Json.names("settings.classes", classes.stream().map(c -> c.text("name")).toList()),
+                address(environment.getOrDefault("RELAY_DISCOVERY", file.text("discovery", null)), "discovery"),
+                seed(file),
+                file.childOrEmpty("known"),
+                router,
+                Json.names(
+                        "settings.classes",
+                        classes.stream().map(c -> c.text("name")).toList()),
                 classes.stream().map(c -> positive(c, "deadline", 10)).toList(),
-                projects.isEmpty() ? List.of()
-                        : Json.names("settings.projects",
+                projects.isEmpty()
+                        ? List.of()
+                        : Json.names(
+                                "settings.projects",
                                 projects.stream().map(p -> p.text("name")).toList()),
-                SettingsReader.zones(settings), settings.names("kinds"), limits,
-                Timing.of(!router.listOnRequest(), router.rules().stopSendingWithin() > 0
-                        ? router.rules().stopSendingWithin() : STOP_WITHIN));
+                SettingsReader.zones(settings),
+                settings.names("kinds"),
+                limits,
+                Timing.of(
+                        !router.listOnRequest(),
+                        router.rules().stopSendingWithin() > 0 ? router.rules().stopSendingWithin() : STOP_WITHIN));
     }
 
     /**
-     * What a state may wait covers hearing of it, choosing, sending and a margin: a quarter each. Where no
-     * state is held, as if it were half a second.
+     * What a state may wait covers hearing of it, choosing, sending and a margin: a quarter each. Where no state is
+     * held, as if it were half a second.
      */
     private static double lag(Router.Settings settings) {
         double most = settings.rules().releaseWithin();
@@ -115,8 +157,7 @@
         int colon = text == null ? -1 : text.lastIndexOf(':');
         try {
             if (colon > 0) {
-                return new InetSocketAddress(text.substring(0, colon),
-                        Integer.parseInt(text.substring(colon + 1)));
+                return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
             // Said below.
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -40,8 +40,8 @@
     private final Operator.Chat operator;
     private final Limits limits;
     private final Engines engines = new Engines();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(
-            task -> daemon(task, "timer"));
+    private final ScheduledExecutorService timer =
+            Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "timer"));
     private final EngineClient client;
     private final Decisions decisions;
     private final Dispatcher dispatcher;
@@ -52,6 +52,7 @@
     private final News known;
     /** Tells the decisions of news in order; the list itself does not wait for them. */
     private final Executor told = Executors.newSingleThreadExecutor(task -> daemon(task, "news"));
+
     private final Watch watch;
     private boolean started;
     private volatile boolean draining;
@@ -67,30 +68,39 @@
         Gate gate = new Gate(engines, clock, limits.gateSeconds());
         client = new EngineClient(connections, engines, gate, clock, limits, timer);
         Pulse pulse = new Pulse(connections);
-        decisions = new Decisions(config.settings(), config.seed(), clock, client::release, pulse::lag,
-                limits.lagSeconds());
-        timer.scheduleWithFixedDelay(() -> {
-            pulse.beat();
-            decisions.pulse();
-        }, 0, (long) (limits.pulseSeconds() * 1e6), TimeUnit.MICROSECONDS);
-        ThreadPoolExecutor pool = new ThreadPoolExecutor(4, limits.requests(), 10, TimeUnit.SECONDS,
-                new SynchronousQueue<>(), task -> daemon(task, "request"));
-        dispatcher = new Dispatcher(decisions, engines, client, pool, clock, limits,
-                policy(config.settings()));
+        decisions = new Decisions(
+                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.lagSeconds());
+        timer.scheduleWithFixedDelay(
+                () -> {
+                    pulse.beat();
+                    decisions.pulse();
+                },
+                0,
+                (long) (limits.pulseSeconds() * 1e6),
+                TimeUnit.MICROSECONDS);
+        ThreadPoolExecutor pool = new ThreadPoolExecutor(
+                4, limits.requests(), 10, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, "request"));
+        dispatcher = new Dispatcher(decisions, engines, client, pool, clock, limits, policy(config.settings()));
         AtomicLong bodies = new AtomicLong();
-        PlatformExchange.Shared shared = new PlatformExchange.Shared(dispatcher, new RequestReader(
-                config.classes(), config.deadlines(), config.tenants()), clock, limits, () -> draining,
-                () -> closing, bodies);
+        PlatformExchange.Shared shared = new PlatformExchange.Shared(
+                dispatcher,
+                new RequestReader(config.classes(), config.deadlines(), config.tenants()),
+                clock,
+                limits,
+                () -> draining,
+                () -> closing,
+                bodies);
         // The fronts share the descriptors that are meant for clients.
         int clients = limits.clientConnections() / (operator == null ? 1 : 2);
         server = new Server(clients, limits, () -> new PlatformExchange(shared));
-        ChatExchange.Shared chats = operator == null ? null : new ChatExchange.Shared(dispatcher,
-                operator.settings(), routing(clock), engines, clock, limits, () -> closing, bodies);
+        ChatExchange.Shared chats = operator == null
+                ? null
+                : new ChatExchange.Shared(
+                        dispatcher, operator.settings(), routing(clock), engines, clock, limits, () -> closing, bodies);
         chat = operator == null ? null : new Server(clients, limits, () -> new ChatExchange(chats));
         hosts = new HostReader(config.zones(), config.kinds());
         known = known(config);
-        watch = new Watch(hosts, config.list(), clock, known == null ? 0 : known.version(),
-                config.seed(), this::learn);
+        watch = new Watch(hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
         gate.watch(watch::unread);
         servers = chat == null ? List.of(server) : List.of(server, chat);
         timer.scheduleWithFixedDelay(() -> servers.forEach(Server::sweep), 100, 100, TimeUnit.MILLISECONDS);
@@ -115,22 +125,29 @@
     /** Which engines may have which of the chat front's requests; its standing is logged when it changes. */
     private Routing routing(Clock clock) {
         List<Router.Role> roles = config.settings().roleByKind();
-        Routing routing = new Routing(operator.settings().engines(), operator.settings().move(),
+        Routing routing = new Routing(
+                operator.settings().engines(),
+                operator.settings().move(),
                 engines::listed,
-                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind())
-                        : Router.Role.BOTH) {
+                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.BOTH) {
                     case READ -> Routing.READS;
                     case WRITE -> Routing.WRITES;
                     case BOTH -> Routing.READS | Routing.WRITES;
-                }, config.seed(), clock.now());
+                },
+                config.seed(),
+                clock.now());
         String[] told = {""};
-        timer.scheduleWithFixedDelay(() -> {
-            routing.tick(clock.now());
-            if (!told[0].equals(routing.standing())) {
-                told[0] = routing.standing();
-                LOG.info("event=generations {}", told[0]);
-            }
-        }, 1, 1, TimeUnit.SECONDS);
+        timer.scheduleWithFixedDelay(
+                () -> {
+                    routing.tick(clock.now());
+                    if (!told[0].equals(routing.standing())) {
+                        told[0] = routing.standing();
+                        LOG.info("event=generations {}", told[0]);
+                    }
+                },
+                1,
+                1,
+                TimeUnit.SECONDS);
         return routing;
     }
 
@@ -151,10 +168,11 @@
         int port = server.listen(config.listen());
         LOG.info("{} listens on {} port {}", config.name(), config.listen(), port);
         if (chat != null) {
-            ChatExchange.warm(operator.settings().engines().stream().map(Generation::format).distinct()
+            ChatExchange.warm(operator.settings().engines().stream()
+                    .map(Generation::format)
+                    .distinct()
                     .toList());
-            LOG.info("{} speaks chat on {} port {}", config.name(), operator.listen(),
-                    chat.listen(operator.listen()));
+            LOG.info("{} speaks chat on {} port {}", config.name(), operator.listen(), chat.listen(operator.listen()));
         }
         started = true;
         return port;
@@ -162,11 +180,15 @@
 
     /** Runs {@code look} on a thread of its own about once a second while discovery does not answer. */
     void whileDiscoveryIsLost(Runnable look) {
-        timer.scheduleWithFixedDelay(() -> {
-            if (watch.failing()) {
-                daemon(look, "configuration").start();
-            }
-        }, 1, 1, TimeUnit.SECONDS);
+        timer.scheduleWithFixedDelay(
+                () -> {
+                    if (watch.failing()) {
+                        daemon(look, "configuration").start();
+                    }
+                },
+                1,
+                1,
+                TimeUnit.SECONDS);
     }
 
     /** The list of engines that a configuration holds, checked; null where it has none. */
@@ -175,8 +197,8 @@
     }
 
     /**
-     * Takes up a new configuration: the address of discovery. What else the file says takes effect at the
-     * next start, but all of it is checked, so that a file with faults changes nothing.
+     * Takes up a new configuration: the address of discovery. What else the file says takes effect at the next start,
+     * but all of it is checked, so that a file with faults changes nothing.
      */
     void reload(Config next) throws IOException {
         known(next);
@@ -184,14 +206,18 @@
     }
 
     /**
-     * The list is put in place at once, before the module may send to what it names, and holds for what is on
-     * its way to an engine; the module hears of it when its lock is free.
+     * The list is put in place at once, before the module may send to what it names, and holds for what is on its way
+     * to an engine; the module hears of it when its lock is free.
      */
     private void learn(News news) {
         if (!news.whole() || !news.engines().isEmpty()) {
             engines.apply(news.scope(), news.engines());
-            LOG.debug("event=list version={} scope={} named={} listed={}", news.version(), news.scope(),
-                    news.engines().size(), engines.size());
+            LOG.debug(
+                    "event=list version={} scope={} named={} listed={}",
+                    news.version(),
+                    news.scope(),
+                    news.engines().size(),
+                    engines.size());
             told.execute(() -> decisions.list(news.scope(), news.engines()));
         }
     }
@@ -207,9 +233,9 @@
     }
 
     /**
-     * An orderly end: first only {@code /up} says no, as connections keep coming until the front has seen
-     * it; then nothing new is accepted, idle connections close, and what was taken is finished. False, and
-     * nothing done, where it has not started; one that is just starting is waited for.
+     * An orderly end: first only {@code /up} says no, as connections keep coming until the front has seen it; then
+     * nothing new is accepted, idle connections close, and what was taken is finished. False, and nothing done, where
+     * it has not started; one that is just starting is waited for.
      */
     synchronized boolean stop() throws InterruptedException, IOException {
         if (!started) {
--- a/src/main/java/dunlinladder/lifecycle/Generations.java
+++ b/src/main/java/dunlinladder/lifecycle/Generations.java
@@ -18,14 +18,12 @@
 /** The part of the operator's file that says which engines speak which format, and how the fleet moves. */
 final class Generations {
 
-    private static final Pattern GENERATION = Pattern.compile(
-            "generations\\.[^.]+\\.(format|kinds|halls|ids|order)");
+    private static final Pattern GENERATION = Pattern.compile("generations\\.[^.]+\\.(format|kinds|halls|ids|order)");
     private static final Pattern MOVE = Pattern.compile("move\\.(from|to|ramp_seconds"
             + "|stages\\.[1-9][0-9]?\\.(engines|shops|hold_seconds)"
             + "|stop\\.(failed|untranslatable|delay|least|then))");
 
-    private Generations() {
-    }
+    private Generations() {}
 
     /** Whether a key is one of this part's. */
     static boolean knows(String key) {
@@ -41,19 +39,28 @@
     static List<Generation> read(Map<String, String> flat, List<String> kinds, List<String> zones) {
         Map<String, Integer> orders = new TreeMap<>();
         List<Generation> generations = new ArrayList<>();
-        for (String name : flat.keySet().stream().filter(k -> k.startsWith("generations."))
-                .map(k -> k.split("\\.")[1]).distinct().toList()) {
+        for (String name : flat.keySet().stream()
+                .filter(k -> k.startsWith("generations."))
+                .map(k -> k.split("\\.")[1])
+                .distinct()
+                .toList()) {
             String at = "generations." + name + ".";
-            Format format = Format.of(flat.getOrDefault(at + "format", "")).orElseThrow(() -> new BadInput(
-                    at + "format must be one of " + Arrays.stream(Format.values()).map(Format::key).toList()
-                    + ", not " + flat.get(at + "format")));
+            Format format = Format.of(flat.getOrDefault(at + "format", ""))
+                    .orElseThrow(() -> new BadInput(at + "format must be one of "
+                            + Arrays.stream(Format.values()).map(Format::key).toList() + ", not "
+                            + flat.get(at + "format")));
             orders.put(name, (int) number(flat, at + "order", 0, 0, 1000));
-            generations.add(new Generation(name, format, indexes(flat, at + "kinds", kinds),
-                    indexes(flat, at + "halls", zones), pattern(flat, at + "ids")));
+            generations.add(new Generation(
+                    name,
+                    format,
+                    indexes(flat, at + "kinds", kinds),
+                    indexes(flat, at + "halls", zones),
+                    pattern(flat, at + "ids")));
         }
-        generations.sort(Comparator.comparing((Generation g) -> orders.get(g.name()))
-                .thenComparing(Generation::name));
-        return generations.isEmpty() ? List.of(new Generation("all", Format.CHAT, Set.of(), Set.of(), null))
+        generations.sort(
+                Comparator.comparing((Generation g) -> orders.get(g.name())).thenComparing(Generation::name));
+        return generations.isEmpty()
+                ? List.of(new Generation("all", Format.CHAT, Set.of(), Set.of(), null))
                 : generations;
     }
 
@@ -70,12 +77,16 @@
         List<Move.Stage> stages = new ArrayList<>();
         for (int i = 1; flat.containsKey("move.stages." + i + ".engines"); i++) {
             String at = "move.stages." + i + ".";
-            stages.add(new Move.Stage(number(flat, at + "engines", Double.NaN, 0, 1),
-                    number(flat, at + "shops", 1, 0, 1), number(flat, at + "hold_seconds", 60, 0.001, 1e7)));
+            stages.add(new Move.Stage(
+                    number(flat, at + "engines", Double.NaN, 0, 1),
+                    number(flat, at + "shops", 1, 0, 1),
+                    number(flat, at + "hold_seconds", 60, 0.001, 1e7)));
         }
-        long named = flat.keySet().stream().filter(k -> k.startsWith("move.stages."))
+        long named = flat.keySet().stream()
+                .filter(k -> k.startsWith("move.stages."))
                 .map(k -> k.split("\\.")[2])
-                .distinct().count();
+                .distinct()
+                .count();
         if (named != stages.size()) {
             throw new BadInput("move.stages must be numbered from 1 on, each with engines");
         }
@@ -84,10 +95,16 @@
             throw new BadInput("move.stop.then must be back or stop, not " + then);
         }
         try {
-            return new Move(from, to, stages, new Move.Stop(number(flat, "move.stop.failed", 0.02, 0, 1),
-                    number(flat, "move.stop.untranslatable", 0.05, 0, 1),
-                    number(flat, "move.stop.delay", 2, 1, 1000),
-                    (int) number(flat, "move.stop.least", 50, 1, 1e6), then.equals("back")),
+            return new Move(
+                    from,
+                    to,
+                    stages,
+                    new Move.Stop(
+                            number(flat, "move.stop.failed", 0.02, 0, 1),
+                            number(flat, "move.stop.untranslatable", 0.05, 0, 1),
+                            number(flat, "move.stop.delay", 2, 1, 1000),
+                            (int) number(flat, "move.stop.least", 50, 1, 1e6),
+                            then.equals("back")),
                     number(flat, "move.ramp_seconds", 10, 0.001, 1e6));
         } catch (IllegalArgumentException e) {
             throw new BadInput("move.stages: " + e.getMessage());
@@ -102,8 +119,7 @@
         return name;
     }
 
-    private static double number(Map<String, String> flat, String key, double absent, double least,
-            double most) {
+    private static double number(Map<String, String> flat, String key, double absent, double least, double most) {
         String text = flat.get(key);
         try {
             double value = text == null ? absent : Double.parseDouble(text);
--- a/src/main/java/dunlinladder/lifecycle/Main.java
+++ b/src/main/java/dunlinladder/lifecycle/Main.java
@@ -35,8 +35,7 @@
     /** When the file had last changed at the last look. */
     private static FileTime lookedAt;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Exits with 1 on malformed input, configuration or usage; {@code plan} with 2 on changes. */
     public static void main(String[] args) throws IOException, InterruptedException {
@@ -77,32 +76,36 @@
 
     private static void serve(Path state) throws IOException, InterruptedException {
         Config config = Config.read(System.getenv());
-        Gateway gateway = new Gateway(config, Files.exists(state)
-                ? Operator.chat(Plans.applied(state).settings(), config, System.getenv()) : null);
+        Gateway gateway = new Gateway(
+                config,
+                Files.exists(state) ? Operator.chat(Plans.applied(state).settings(), config, System.getenv()) : null);
         // Without a handler of its own SIGHUP ends the JVM.
         Signal.handle(new Signal("HUP"), signal -> reload(gateway));
         // Before the start: a signal that comes between its first client and this would lose that client.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            int status = 0;
-            try {
-                if (!gateway.stop()) {
-                    return;
-                }
-            } catch (InterruptedException | IOException | RuntimeException e) {
-                status = 1;
-            }
-            // Left to itself a JVM that ends by SIGTERM exits with 143.
-            Runtime.getRuntime().halt(status);
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            int status = 0;
+                            try {
+                                if (!gateway.stop()) {
+                                    return;
+                                }
+                            } catch (InterruptedException | IOException | RuntimeException e) {
+                                status = 1;
+                            }
+                            // Left to itself a JVM that ends by SIGTERM exits with 143.
+                            Runtime.getRuntime().halt(status);
+                        },
+                        "stop"));
         gateway.start();
         gateway.whileDiscoveryIsLost(() -> lookAgain(gateway));
         new CountDownLatch(1).await();
     }
 
     /**
-     * Discovery may have moved although no SIGHUP came: a JVM started where that signal is ignored, as under
-     * nohup, never hears of it, whatever handler it asks for. So the file is looked at once more, and
-     * read if it has changed since the last look.
+     * Discovery may have moved although no SIGHUP came: a JVM started where that signal is ignored, as under nohup,
+     * never hears of it, whatever handler it asks for. So the file is looked at once more, and read if it has changed
+     * since the last look.
      */
     private static synchronized void lookAgain(Gateway gateway) {
         try {
@@ -127,8 +130,8 @@
     }
 
     private static void simulate() throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(
-                new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
+        BufferedReader in = new BufferedReader(
+                new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
         Writer out = new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
         new Host(in, out).run();
     }
--- a/src/main/java/dunlinladder/lifecycle/Operator.java
+++ b/src/main/java/dunlinladder/lifecycle/Operator.java
@@ -16,8 +16,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The operator's file for the chat front: read, checked, and turned into what the front wants. Its settings
- * are kept flat, as {@code models.NAME.class}, so that two of them compare line by line.
+ * The operator's file for the chat front: read, checked, and turned into what the front wants. Its settings are kept
+ * flat, as {@code models.NAME.class}, so that two of them compare line by line.
  */
 final class Operator {
 
@@ -25,10 +25,9 @@
     private static final int MOST_TOKENS = 800;
 
     /** The chat front as it is to be started. */
-    record Chat(InetSocketAddress listen, ChatSettings settings) { }
+    record Chat(InetSocketAddress listen, ChatSettings settings) {}
 
-    private Operator() {
-    }
+    private Operator() {}
 
     /** Reads the file's text; an error names the faulty key. */
     static SortedMap<String, String> read(String toml) {
@@ -71,8 +70,9 @@
                 if (!value.matches("pass|drop|refuse")) {
                     throw new BadInput(key + " must be pass, drop or refuse, not " + value);
                 }
-            } else if (!Generations.knows(key) && !key.equals("listen") && !(key.startsWith("models.")
-                    && last.equals("class"))) {
+            } else if (!Generations.knows(key)
+                    && !key.equals("listen")
+                    && !(key.startsWith("models.") && last.equals("class"))) {
                 throw new BadInput("unknown key " + key);
             }
         });
@@ -97,8 +97,10 @@
 
     /** The names under a heading; a model's own name may hold dots. */
     private static List<String> names(Map<String, String> flat, String heading) {
-        return flat.keySet().stream().filter(k -> k.startsWith(heading + ".") && k.lastIndexOf('.')
-                > heading.length()).map(k -> k.substring(heading.length() + 1, k.lastIndexOf('.'))).distinct()
+        return flat.keySet().stream()
+                .filter(k -> k.startsWith(heading + ".") && k.lastIndexOf('.') > heading.length())
+                .map(k -> k.substring(heading.length() + 1, k.lastIndexOf('.')))
+                .distinct()
                 .toList();
     }
 
@@ -131,18 +133,22 @@
         Map<String, Integer> tenants = new TreeMap<>();
         for (String variable : names(flat, "keys")) {
             String secret = environment.getOrDefault(variable, "");
-            if (secret.isBlank() || tenants.put(secret, Math.max(0, config.tenants().indexOf(
-                    flat.get("keys." + variable + ".tenant")))) != null) {
+            if (secret.isBlank()
+                    || tenants.put(
+                                    secret,
+                                    Math.max(0, config.tenants().indexOf(flat.get("keys." + variable + ".tenant"))))
+                            != null) {
                 throw new BadInput("keys." + variable + ": the environment variable " + variable
                         + " is not set, or holds the same key as another");
             }
         }
         Map<String, ChatSettings.Model> models = new TreeMap<>();
         for (String model : names(flat, "models")) {
-            models.put(model, new ChatSettings.Model(
-                    config.classes().indexOf(flat.get("models." + model + ".class")),
-                    (int) Double.parseDouble(flat.getOrDefault("models." + model + ".max_tokens",
-                            String.valueOf(MOST_TOKENS)))));
+            models.put(
+                    model,
+                    new ChatSettings.Model(config.classes().indexOf(flat.get("models." + model + ".class")), (int)
+                            Double.parseDouble(flat.getOrDefault(
+                                    "models." + model + ".max_tokens", String.valueOf(MOST_TOKENS)))));
         }
         List<Double> deadlines = new ArrayList<>();
         for (int i = 0; i < config.classes().size(); i++) {
@@ -150,10 +156,18 @@
             deadlines.add(own == null ? config.deadlines().get(i) : Double.valueOf(own));
         }
         List<Generation> generations = Generations.read(flat, config.kinds(), config.zones());
-        return new Chat(Config.address(flat.get("listen"), "listen"), new ChatSettings(tenants, models,
-                deadlines, config.settings().classes().stream()
-                        .map(c -> c.effect() == Router.Effect.UNSAFE).toList(),
-                generations, Generations.move(flat, generations), Requests.Unknown.valueOf(
-                        flat.getOrDefault("unknown_fields", "pass").toUpperCase(Locale.ROOT))));
+        return new Chat(
+                Config.address(flat.get("listen"), "listen"),
+                new ChatSettings(
+                        tenants,
+                        models,
+                        deadlines,
+                        config.settings().classes().stream()
+                                .map(c -> c.effect() == Router.Effect.UNSAFE)
+                                .toList(),
+                        generations,
+                        Generations.move(flat, generations),
+                        Requests.Unknown.valueOf(
+                                flat.getOrDefault("unknown_fields", "pass").toUpperCase(Locale.ROOT))));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Pages.java
+++ b/src/main/java/dunlinladder/lifecycle/Pages.java
@@ -9,8 +9,7 @@
 /** Writes the tables into the folder of docs that its one argument names. */
 public final class Pages {
 
-    private Pages() {
-    }
+    private Pages() {}
 
     /** Writes {@code fields.md} and {@code errors.md}. */
     public static void main(String[] args) throws IOException {
--- a/src/main/java/dunlinladder/lifecycle/Plans.java
+++ b/src/main/java/dunlinladder/lifecycle/Plans.java
@@ -29,7 +29,7 @@
     private final PrintStream out;
 
     /** What was applied last; serial 0 before the first time. */
-    record Applied(long serial, SortedMap<String, String> settings) { }
+    record Applied(long serial, SortedMap<String, String> settings) {}
 
     Plans(Path state, Map<String, String> environment, PrintStream out) {
         this.state = state;
@@ -71,21 +71,22 @@
     }
 
     /**
-     * Applies a file, or a saved plan unless the state has changed since it was made. The state is replaced
-     * in one step and under a lock, so that two applies cannot mix and a crash leaves the old one.
+     * Applies a file, or a saved plan unless the state has changed since it was made. The state is replaced in one step
+     * and under a lock, so that two applies cannot mix and a crash leaves the old one.
      */
     void apply(Path file) throws IOException {
         boolean saved = Files.readString(file).stripLeading().startsWith("{");
         if (state.toAbsolutePath().getParent() != null) {
             Files.createDirectories(state.toAbsolutePath().getParent());
         }
-        try (FileChannel channel = FileChannel.open(Path.of(state + ".lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE); FileLock lock = channel.lock()) {
+        try (FileChannel channel = FileChannel.open(
+                        Path.of(state + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = channel.lock()) {
             Applied now = applied(state);
             Applied plan = saved ? read(file, "base") : new Applied(now.serial, wanted(file));
             if (plan.serial != now.serial) {
-                throw new BadInput(file + " is stale: it was made for state " + plan.serial + ", now is "
-                        + now.serial + "; plan again");
+                throw new BadInput(file + " is stale: it was made for state " + plan.serial + ", now is " + now.serial
+                        + "; plan again");
             }
             Operator.check(plan.settings);
             List<String> changes = changes(now.settings, plan.settings);
@@ -130,8 +131,8 @@
     }
 
     private static void write(Path file, String text) throws IOException {
-        Path part = Files.createTempFile(file.toAbsolutePath().getParent(),
-                file.getFileName().toString(), ".part");
+        Path part = Files.createTempFile(
+                file.toAbsolutePath().getParent(), file.getFileName().toString(), ".part");
         try {
             try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
                 channel.write(StandardCharsets.UTF_8.encode(text + "\n"));
--- a/src/main/java/dunlinladder/lifecycle/Sample.java
+++ b/src/main/java/dunlinladder/lifecycle/Sample.java
@@ -7,8 +7,8 @@
     public static final String TENANT = "tenant-a";
 
     /**
-     * The settings of a configuration: one hall, readers, writers and mixed engines, a class that may be
-     * repeated and one that must not.
+     * The settings of a configuration: one hall, readers, writers and mixed engines, a class that may be repeated and
+     * one that must not.
      */
     public static final String SETTINGS = """
             {"balancers":1,"caps":{"connect-timeout":5,"keepalive":30.0,"max-attempts":4},"classes":[
@@ -22,8 +22,7 @@
             "rules":{"answer-slack":0.008,"cold":14.0,"cold-from":0.26,"fall-multiple":4.0,
             "stop-sending-within":1.0,"tip-after":1.5}}""";
 
-    private Sample() {
-    }
+    private Sample() {}
 
     /** An engine's entry in discovery's list; {@code kind} is reader, writer or mixed. */
     public static String host(String name, String address, String kind) {
--- a/src/main/java/dunlinladder/lifecycle/Warm.java
+++ b/src/main/java/dunlinladder/lifecycle/Warm.java
@@ -14,9 +14,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * Goes once through what a gateway does for each request, against stand-ins in the same process, so that the
- * build can keep the classes that takes in an archive: a gateway that starts on a part of a core has loaded
- * them at once.
+ * Goes once through what a gateway does for each request, against stand-ins in the same process, so that the build can
+ * keep the classes that takes in an archive: a gateway that starts on a part of a core has loaded them at once.
  */
 public final class Warm {
 
@@ -33,8 +32,7 @@
 
             """;
 
-    private Warm() {
-    }
+    private Warm() {}
 
     /** Runs the rounds and exits with 0; with 1 where most of them were not served. */
     public static void main(String[] args) throws IOException, InterruptedException {
@@ -48,10 +46,14 @@
             exchange.getResponseBody().write(list.getBytes(StandardCharsets.UTF_8));
             exchange.getResponseBody().flush();
         });
-        Gateway gateway = new Gateway(Config.read(Json.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
-                + "\"discovery\":\"" + at + "\",\"settings\":" + Sample.SETTINGS.replace("\n", "")
-                        + ",\"known\":"
-                + list.trim() + "}"), Map.of()), null);
+        Gateway gateway = new Gateway(
+                Config.read(
+                        Json.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
+                                + "\"discovery\":\"" + at + "\",\"settings\":" + Sample.SETTINGS.replace("\n", "")
+                                + ",\"known\":"
+                                + list.trim() + "}"),
+                        Map.of()),
+                null);
         int port = gateway.start();
         int served = 0;
         for (int i = 0; i < ROUNDS; i++) {
@@ -76,14 +78,24 @@
     }
 
     private static boolean ask(int port, int round) throws IOException {
-        HttpURLConnection connection = (HttpURLConnection) new URL("http://127.0.0.1:" + port
-                + "/v1/chat/completions").openConnection();
+        HttpURLConnection connection =
+                (HttpURLConnection) new URL("http://127.0.0.1:" + port + "/v1/chat/completions").openConnection();
         connection.setRequestMethod("POST");
         connection.setDoOutput(true);
-        Map.of("X-Request-ID", "warm-" + round, "X-Priority-Class", round % 2 == 0 ? "repeatable" : "once",
-                "X-Tenant-Id", Sample.TENANT, "X-Route-Key", "k" + round % 5, "X-Timeout", "4.0", "X-Attrs",
-                "prefix=5c0f,prompt_len=120,prefix_len=20,max_out=80")
-                        .forEach(connection::setRequestProperty);
+        Map.of(
+                        "X-Request-ID",
+                        "warm-" + round,
+                        "X-Priority-Class",
+                        round % 2 == 0 ? "repeatable" : "once",
+                        "X-Tenant-Id",
+                        Sample.TENANT,
+                        "X-Route-Key",
+                        "k" + round % 5,
+                        "X-Timeout",
+                        "4.0",
+                        "X-Attrs",
+                        "prefix=5c0f,prompt_len=120,prefix_len=20,max_out=80")
+                .forEach(connection::setRequestProperty);
         try (OutputStream body = connection.getOutputStream()) {
             body.write("{}".getBytes(StandardCharsets.UTF_8));
         }
