--- a/src/main/java/dunlinladder/membership/Following.java
+++ b/src/main/java/dunlinladder/membership/Following.java
@@ -5,44 +5,53 @@
 import java.util.function.Predicate;
 
 /**
- * How a gateway follows the engine list, as a pure function of state, event and time: which links to
- * discovery are open, which news is taken in and in which order, and when to try again. It does no I/O;
- * whoever drives it carries out the {@link Command}s and reports the {@link Event}s.
+ * How a gateway follows the engine list, as a pure function of state, event and time: which links to discovery are
+ * open, which news is taken in and in which order, and when to try again. It does no I/O; whoever drives it carries out
+ * the {@link Command}s and reports the {@link Event}s.
  *
  * <p>What it guards against:
+ *
  * <ul>
- * <li>A move to another address while news is on its way: the old link is listened to until the new one has
- *     been heard.
- * <li>An address that hangs: a second link is tried beside one whose connection does not come up, the first
- *     to answer stays. One that is connected waits for its turn: a second call would lengthen the queue.
- *     Where an older link has fallen silent, or was left behind by a move, news may be missed meanwhile:
- *     there a call that is not answered soon gets another one beside it. So it does after a move that no
- *     older link survived, and always where discovery is an agent on this machine.
- * <li>An outage: a call that was not answered in time stays open until the next one is opened, so that what
- *     discovery says at its return finds a call that waits for it.
- * <li>Discovery that is overbooked, and all gateways that start at once and ask again in step: there is one
- *     call at a time, and pauses are drawn from a range that doubles with each call in a row that was not
- *     answered (capped exponential backoff with full jitter).
- * <li>News of two links that overtakes itself: what is not newer than what was taken in is left aside, as
- * each entry says an engine's whole state and an older one would undo a drain.
- * <li>News that could not be read or taken in: the version does not move past it, and the whole list is asked
- *     for.
- * <li>Discovery that begins to count anew: lists that stay behind for long are asked for from their beginning
- *     and then taken whatever their version is.
+ *   <li>A move to another address while news is on its way: the old link is listened to until the new one has been
+ *       heard.
+ *   <li>An address that hangs: a second link is tried beside one whose connection does not come up, the first to answer
+ *       stays. One that is connected waits for its turn: a second call would lengthen the queue. Where an older link
+ *       has fallen silent, or was left behind by a move, news may be missed meanwhile: there a call that is not
+ *       answered soon gets another one beside it. So it does after a move that no older link survived, and always where
+ *       discovery is an agent on this machine.
+ *   <li>An outage: a call that was not answered in time stays open until the next one is opened, so that what discovery
+ *       says at its return finds a call that waits for it.
+ *   <li>Discovery that is overbooked, and all gateways that start at once and ask again in step: there is one call at a
+ *       time, and pauses are drawn from a range that doubles with each call in a row that was not answered (capped
+ *       exponential backoff with full jitter).
+ *   <li>News of two links that overtakes itself: what is not newer than what was taken in is left aside, as each entry
+ *       says an engine's whole state and an older one would undo a drain.
+ *   <li>News that could not be read or taken in: the version does not move past it, and the whole list is asked for.
+ *   <li>Discovery that begins to count anew: lists that stay behind for long are asked for from their beginning and
+ *       then taken whatever their version is.
  * </ul>
  *
  * @param address where discovery is
  * @param version of the last news taken in
- * @param whole   whether the next link asks for the whole list
- * @param links   the links that are open, oldest first
- * @param nextId  the number of the next link
+ * @param whole whether the next link asks for the whole list
+ * @param links the links that are open, oldest first
+ * @param nextId the number of the next link
  * @param retryAt clock time before which no link replaces one that ended
- * @param failed  links in a row that ended without an answer
- * @param moved   whether the address has changed and the new one has said nothing yet
- * @param random  state of the random numbers
+ * @param failed links in a row that ended without an answer
+ * @param moved whether the address has changed and the new one has said nothing yet
+ * @param random state of the random numbers
  */
-public record Following(Timing timing, String address, long version, boolean whole, List<Link> links,
-        int nextId, double retryAt, int failed, boolean moved, long random) {
+public record Following(
+        Timing timing,
+        String address,
+        long version,
+        boolean whole,
+        List<Link> links,
+        int nextId,
+        double retryAt,
+        int failed,
+        boolean moved,
+        long random) {
 
     /** Doublings after which the pause is at its bound whatever the figures are. */
     private static final int DOUBLINGS_MOST = 20;
@@ -50,17 +59,26 @@
     /**
      * One connection to discovery.
      *
-     * @param asked    the version that it asked to go on from; 0 for the whole list
-     * @param up       whether its connection is up
+     * @param asked the version that it asked to go on from; 0 for the whole list
+     * @param up whether its connection is up
      * @param answered whether its answer has begun
-     * @param at       clock time of its opening, and of the last thing heard once it has answered
+     * @param at clock time of its opening, and of the last thing heard once it has answered
      * @param patience seconds of silence, once it has answered, after which another link is tried
-     * @param spoken   whether a line or a beat has come
+     * @param spoken whether a line or a beat has come
      * @param behindAt clock time since which its lists are older than what is held, NaN where they are not
-     * @param overdue  whether it was not answered in time; it ends when the next one is opened
+     * @param overdue whether it was not answered in time; it ends when the next one is opened
      */
-    public record Link(int id, String address, long asked, boolean up, boolean answered, double at,
-            double patience, boolean spoken, double behindAt, boolean overdue) {
+    public record Link(
+            int id,
+            String address,
+            long asked,
+            boolean up,
+            boolean answered,
+            double at,
+            double patience,
+            boolean spoken,
+            double behindAt,
+            boolean overdue) {
 
         private Link connected() {
             return new Link(id, address, asked, true, answered, at, patience, spoken, behindAt, overdue);
@@ -71,8 +89,17 @@
         }
 
         private Link behind(double now) {
-            return new Link(id, address, asked, up, answered, at, patience, spoken,
-                    Double.isNaN(behindAt) ? now : behindAt, overdue);
+            return new Link(
+                    id,
+                    address,
+                    asked,
+                    up,
+                    answered,
+                    at,
+                    patience,
+                    spoken,
+                    Double.isNaN(behindAt) ? now : behindAt,
+                    overdue);
         }
 
         private Link level() {
@@ -85,7 +112,8 @@
 
         /** Clock time at which it is given up unless it has answered. */
         private double until(Timing timing) {
-            return answered || overdue ? Double.POSITIVE_INFINITY
+            return answered || overdue
+                    ? Double.POSITIVE_INFINITY
                     : at + (up ? timing.answerSeconds() : timing.openSeconds());
         }
     }
@@ -94,48 +122,48 @@
     public sealed interface Event {
 
         /** Discovery is at this address from now on; also the first event. */
-        record Move(String address) implements Event { }
+        record Move(String address) implements Event {}
 
         /** A link's connection is up and its call is sent. */
-        record Connected(int link) implements Event { }
+        record Connected(int link) implements Event {}
 
         /** A link's answer has begun. */
-        record Answered(int link) implements Event { }
+        record Answered(int link) implements Event {}
 
         /** A link brought news. */
-        record Told(int link, News news) implements Event { }
+        record Told(int link, News news) implements Event {}
 
         /** A link brought an empty line. */
-        record Beat(int link) implements Event { }
+        record Beat(int link) implements Event {}
 
         /** A link brought what can't be read. */
-        record Unreadable(int link) implements Event { }
+        record Unreadable(int link) implements Event {}
 
         /** News that was to be taken in was not; {@code before} is the version without it. */
-        record NotTaken(long before) implements Event { }
+        record NotTaken(long before) implements Event {}
 
         /** A link never came up, broke or ended. */
-        record Ended(int link) implements Event { }
+        record Ended(int link) implements Event {}
 
         /** Time has passed; {@link #wake} says when that matters. */
-        record Tick() implements Event { }
+        record Tick() implements Event {}
     }
 
     /** What is to be done. */
     public sealed interface Command {
 
         /** Opens a link to discovery that asks for what came after {@code since}, for all where that is 0. */
-        record Open(int link, String address, long since) implements Command { }
+        record Open(int link, String address, long since) implements Command {}
 
         /** Closes a link; nothing that it still says counts. */
-        record Close(int link) implements Command { }
+        record Close(int link) implements Command {}
 
         /** Takes news in; {@link Event.NotTaken} where that fails. */
-        record Take(News news, long before) implements Command { }
+        record Take(News news, long before) implements Command {}
     }
 
     /** The state after an event and what is to be done, in order. */
-    public record Next(Following state, List<Command> commands) { }
+    public record Next(Following state, List<Command> commands) {}
 
     /** Copies the links, so that a state never changes. */
     public Following {
@@ -173,8 +201,7 @@
 
     /** Clock time of the next {@link Event.Tick} that would do something; infinite when none would. */
     public double wake() {
-        double wake = address == null ? Double.POSITIVE_INFINITY : openAt(links, address, timing, retryAt,
-                moved);
+        double wake = address == null ? Double.POSITIVE_INFINITY : openAt(links, address, timing, retryAt, moved);
         for (Link link : links) {
             wake = Math.min(wake, link.until(timing));
             if (!Double.isNaN(link.behindAt)) {
@@ -185,13 +212,12 @@
     }
 
     /**
-     * When another link to the current address is wanted: after a pause where there is none that could still
-     * be answered in time, beside one whose connection does not come up, beside one that has fallen silent,
-     * and beside a call that waits while news may be missed: an older link has fallen silent or is left
-     * behind, the address has moved, or the agent of this machine may know more than it has told.
+     * When another link to the current address is wanted: after a pause where there is none that could still be
+     * answered in time, beside one whose connection does not come up, beside one that has fallen silent, and beside a
+     * call that waits while news may be missed: an older link has fallen silent or is left behind, the address has
+     * moved, or the agent of this machine may know more than it has told.
      */
-    private static double openAt(List<Link> links, String address, Timing timing, double retryAt,
-            boolean moved) {
+    private static double openAt(List<Link> links, String address, Timing timing, double retryAt, boolean moved) {
         double heard = Double.NEGATIVE_INFINITY;
         double opened = Double.NEGATIVE_INFINITY;
         int count = 0;
@@ -200,12 +226,16 @@
             if (link.address.equals(address) && !link.overdue) {
                 count++;
                 heard = link.answered ? Math.max(heard, link.at + link.patience) : heard;
-                opened = link.answered ? opened : Math.max(opened, !link.up ? link.at + timing.raceSeconds()
-                        : missing ? link.at + timing.turnSeconds() : Double.POSITIVE_INFINITY);
+                opened = link.answered
+                        ? opened
+                        : Math.max(
+                                opened,
+                                !link.up
+                                        ? link.at + timing.raceSeconds()
+                                        : missing ? link.at + timing.turnSeconds() : Double.POSITIVE_INFINITY);
             }
         }
-        return count >= timing.links() ? Double.POSITIVE_INFINITY
-                : Math.max(retryAt, Math.max(heard, opened));
+        return count >= timing.links() ? Double.POSITIVE_INFINITY : Math.max(retryAt, Math.max(heard, opened));
     }
 
     /** One event's work on a copy of the state. */
@@ -247,14 +277,17 @@
         private void pause() {
             if (retryAt <= now) {
                 // Calls that were raced fail one after the other; a pause for each would add up.
-                retryAt = now + draw() * Math.min(timing.retryMost(),
-                        timing.retrySeconds() * Math.pow(2, Math.min(failed, DOUBLINGS_MOST)));
+                retryAt = now
+                        + draw()
+                                * Math.min(
+                                        timing.retryMost(),
+                                        timing.retrySeconds() * Math.pow(2, Math.min(failed, DOUBLINGS_MOST)));
             }
         }
 
         Next next() {
-            return new Next(new Following(timing, address, version, whole, links, nextId, retryAt,
-                    failed, moved, random),
+            return new Next(
+                    new Following(timing, address, version, whole, links, nextId, retryAt, failed, moved, random),
                     List.copyOf(commands));
         }
 
@@ -369,8 +402,17 @@
 
         private void open() {
             close(other -> other.overdue && current(other));
-            Link link = new Link(nextId++, address, whole ? 0 : version, false, false, now,
-                    timing.silenceSeconds() + draw() * timing.spreadSeconds(), false, Double.NaN, false);
+            Link link = new Link(
+                    nextId++,
+                    address,
+                    whole ? 0 : version,
+                    false,
+                    false,
+                    now,
+                    timing.silenceSeconds() + draw() * timing.spreadSeconds(),
+                    false,
+                    Double.NaN,
+                    false);
             links.add(link);
             commands.add(new Command.Open(link.id, link.address, link.asked));
         }
--- a/src/main/java/dunlinladder/membership/News.java
+++ b/src/main/java/dunlinladder/membership/News.java
@@ -8,7 +8,7 @@
  * One piece of news of the engine list.
  *
  * @param version the list's version with this news in it
- * @param scope   what {@code engines} is the whole of
+ * @param scope what {@code engines} is the whole of
  */
 public record News(long version, Decider.Scope scope, List<Engine> engines) {
 
--- a/src/main/java/dunlinladder/membership/Timing.java
+++ b/src/main/java/dunlinladder/membership/Timing.java
@@ -3,32 +3,48 @@
 /**
  * The times by which the list is followed, all in seconds, and a count.
  *
- * @param raceSeconds    after which a link whose connection has not come up gets a second one beside it
- * @param openSeconds    after which a link whose connection has not come up is given up
- * @param answerSeconds  after which a link that is connected and has not answered is given up: its call may
- *                       wait in turn, and another one would only make the queue longer
- * @param turnSeconds    after which a call that is connected and not answered gets another one beside it,
- *                       where news may be missed meanwhile
- * @param local          whether discovery is an agent on this machine, which answers at once and at no cost,
- *                       and whose news counts from the moment it has it: there news may always be missed
+ * @param raceSeconds after which a link whose connection has not come up gets a second one beside it
+ * @param openSeconds after which a link whose connection has not come up is given up
+ * @param answerSeconds after which a link that is connected and has not answered is given up: its call may wait in
+ *     turn, and another one would only make the queue longer
+ * @param turnSeconds after which a call that is connected and not answered gets another one beside it, where news may
+ *     be missed meanwhile
+ * @param local whether discovery is an agent on this machine, which answers at once and at no cost, and whose news
+ *     counts from the moment it has it: there news may always be missed
  * @param silenceSeconds without a line or a beat after which another link is tried beside the silent one
- * @param spreadSeconds  the most that is added to it by chance, so that gateways do not ask in step
- * @param retrySeconds   the longest pause before an address that ended or refused a link is asked again;
- *                       doubled for each call in a row that was not answered
- * @param retryMost      the bound of that doubling
- * @param epochSeconds   for which lists older than what is held are left aside; then discovery is taken to
- *                       have begun to count anew
- * @param links          links at once to one address, at least 2
+ * @param spreadSeconds the most that is added to it by chance, so that gateways do not ask in step
+ * @param retrySeconds the longest pause before an address that ended or refused a link is asked again; doubled for each
+ *     call in a row that was not answered
+ * @param retryMost the bound of that doubling
+ * @param epochSeconds for which lists older than what is held are left aside; then discovery is taken to have begun to
+ *     count anew
+ * @param links links at once to one address, at least 2
  */
-public record Timing(double raceSeconds, double openSeconds, double answerSeconds, double turnSeconds,
-        double silenceSeconds, double spreadSeconds, double retrySeconds, double retryMost,
-        double epochSeconds, int links, boolean local) {
+public record Timing(
+        double raceSeconds,
+        double openSeconds,
+        double answerSeconds,
+        double turnSeconds,
+        double silenceSeconds,
+        double spreadSeconds,
+        double retrySeconds,
+        double retryMost,
+        double epochSeconds,
+        int links,
+        boolean local) {
 
     /** Checks the figures. */
     public Timing {
-        if (!(raceSeconds > 0 && openSeconds > raceSeconds && answerSeconds >= openSeconds
-                && turnSeconds > 0 && silenceSeconds > 0 && spreadSeconds >= 0 && retrySeconds > 0
-                && retryMost >= retrySeconds && epochSeconds > 0 && links >= 2)) {
+        if (!(raceSeconds > 0
+                && openSeconds > raceSeconds
+                && answerSeconds >= openSeconds
+                && turnSeconds > 0
+                && silenceSeconds > 0
+                && spreadSeconds >= 0
+                && retrySeconds > 0
+                && retryMost >= retrySeconds
+                && epochSeconds > 0
+                && links >= 2)) {
             throw new IllegalArgumentException("times must be over 0, openSeconds over raceSeconds, "
                     + "answerSeconds not under it, retryMost not under retrySeconds, links 2 or more: "
                     + this);
@@ -51,7 +67,7 @@
     /**
      * The times that keep the protocol's bounds, which docs/membership.md sums term by term.
      *
-     * @param pushed      whether lists are pushed, so that the agent of this machine is asked
+     * @param pushed whether lists are pushed, so that the agent of this machine is asked
      * @param stopSeconds the rule's: from news of a drain until nothing new may be sent; over 0
      */
     public static Timing of(boolean pushed, double stopSeconds) {
@@ -63,8 +79,8 @@
         // All that are raced have failed by the time at which one that is connected would have.
         double race = 0.3;
         if (!pushed) {
-            return new Timing(race, answer - (LINKS - 1) * race, answer, turn, silence, BEAT_LATE, 0.2, pause,
-                    10, LINKS, false);
+            return new Timing(
+                    race, answer - (LINKS - 1) * race, answer, turn, silence, BEAT_LATE, 0.2, pause, 10, LINKS, false);
         }
         // Half of the rule's time until another call is made, a quarter for a pause, the rest to hear of it.
         double stop = Math.max(STOP_LEAST, stopSeconds);
@@ -72,7 +88,17 @@
         pause = Math.min(pause, stop / 4);
         race = Math.min(race, pause);
         answer = Math.min(answer, LINKS * turn);
-        return new Timing(race, answer - (LINKS - 1) * race, answer, turn, silence, BEAT_LATE,
-                Math.min(0.2, pause), pause, 10, LINKS, true);
+        return new Timing(
+                race,
+                answer - (LINKS - 1) * race,
+                answer,
+                turn,
+                silence,
+                BEAT_LATE,
+                Math.min(0.2, pause),
+                pause,
+                10,
+                LINKS,
+                true);
     }
 }
--- a/src/main/java/dunlinladder/wire/ChunkReader.java
+++ b/src/main/java/dunlinladder/wire/ChunkReader.java
@@ -13,9 +13,9 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Decodes a chunked body. It stands in for HttpCore's decoder, which takes a chunk of any size and negative
- * ones too, and throws away what it has decoded when a fault or the end follows in the same read. Here a call
- * that brings data never looks at what stands behind it; the fault is the next call's.
+ * Decodes a chunked body. It stands in for HttpCore's decoder, which takes a chunk of any size and negative ones too,
+ * and throws away what it has decoded when a fault or the end follows in the same read. Here a call that brings data
+ * never looks at what stands behind it; the fault is the next call's.
  */
 public final class ChunkReader implements ContentDecoder {
 
@@ -23,7 +23,13 @@
     private static final int MOST_LINE = 256;
     private static final int MOST_TRAILERS = 16;
 
-    private enum State { SIZE, DATA, DATA_END, TRAILERS, DONE }
+    private enum State {
+        SIZE,
+        DATA,
+        DATA_END,
+        TRAILERS,
+        DONE
+    }
 
     private final ReadableByteChannel channel;
     private final SessionInputBuffer buffer;
--- a/src/main/java/dunlinladder/wire/ClientConnection.java
+++ b/src/main/java/dunlinladder/wire/ClientConnection.java
@@ -23,6 +23,7 @@
 import org.apache.hc.core5.http.nio.HandlerFactory;
 import org.apache.hc.core5.http.nio.NHttpMessageParser;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
+import org.apache.hc.core5.http.nio.command.ShutdownCommand;
 import org.apache.hc.core5.http.nio.support.ImmediateResponseExchangeHandler;
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.apache.hc.core5.http.protocol.HttpProcessor;
@@ -30,15 +31,13 @@
 import org.apache.hc.core5.reactor.Command;
 import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
-import org.apache.hc.core5.http.nio.command.ShutdownCommand;
 
 /**
- * One client's connection: its requests one at a time, the time it may take over them, and its end. It sees
- * each head before HttpCore does, and with it the end of the client's input, which HttpCore takes for a
- * graceful shutdown that lets the answer run on, unheard: here a client that closes has gone away.
+ * One client's connection: its requests one at a time, the time it may take over them, and its end. It sees each head
+ * before HttpCore does, and with it the end of the client's input, which HttpCore takes for a graceful shutdown that
+ * lets the answer run on, unheard: here a client that closes has gone away.
  */
-final class ClientConnection implements NHttpMessageParser<HttpRequest>,
-        HandlerFactory<AsyncServerExchangeHandler> {
+final class ClientConnection implements NHttpMessageParser<HttpRequest>, HandlerFactory<AsyncServerExchangeHandler> {
 
     private static final int DROPPED_BYTES = 1024;
 
@@ -49,6 +48,7 @@
     private volatile ServerExchange open;
     /** When it connected, its last answer ended, or the first byte behind that came. */
     private volatile long since = System.nanoTime();
+
     private volatile boolean answered;
     private volatile boolean begun;
     /** Whether a head has been read whole whose exchange is not open yet. */
@@ -57,31 +57,51 @@
     private volatile boolean closed;
     /** Whether it was told to end with the program, which one thread does. */
     private boolean ended;
+
     private boolean refusing;
     /** What is read to be dropped; allocated by the first who sends without waiting. */
     private ByteBuffer dropped;
 
-    ClientConnection(ProtocolIOSession session, Limits limits, Http1Config config,
+    ClientConnection(
+            ProtocolIOSession session,
+            Limits limits,
+            Http1Config config,
             Supplier<? extends ServerExchange> exchanges) {
         this.session = session;
         this.limits = limits;
         this.exchanges = exchanges;
-        this.parser = new HeadParser<>(new DefaultHttpRequestParserFactory(config).create(),
-                limits.headBytes(), 0);
+        this.parser = new HeadParser<>(new DefaultHttpRequestParserFactory(config).create(), limits.headBytes(), 0);
     }
 
     /** The handler that HttpCore drives this connection with. */
     IOEventHandler handler(HttpProcessor processor, Http1Config config) {
-        return new ServerHttp1IOEventHandler(new ServerHttp1StreamDuplexer(session, processor, this, "http",
-                config, CharCodingConfig.DEFAULT, null, this,
-                DefaultHttpResponseWriterFactory.INSTANCE.create(), null, null, null, null) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer buffer, BasicHttpTransportMetrics metrics) throws HttpException {
-                return length == -1 ? new ChunkReader(channel, buffer, limits.chunkBytes())
-                        : super.createContentDecoder(length, channel, buffer, metrics);
-            }
-        });
+        return new ServerHttp1IOEventHandler(
+                new ServerHttp1StreamDuplexer(
+                        session,
+                        processor,
+                        this,
+                        "http",
+                        config,
+                        CharCodingConfig.DEFAULT,
+                        null,
+                        this,
+                        DefaultHttpResponseWriterFactory.INSTANCE.create(),
+                        null,
+                        null,
+                        null,
+                        null) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel channel,
+                            SessionInputBuffer buffer,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return length == -1
+                                ? new ChunkReader(channel, buffer, limits.chunkBytes())
+                                : super.createContentDecoder(length, channel, buffer, metrics);
+                    }
+                });
     }
 
     @Override
@@ -168,9 +188,9 @@
     }
 
     /**
-     * Ends it at the program's end: at once where it rests, with its answer where a request is open, as the
-     * head of that answer may have gone out before and told the client nothing. A head of which a part has
-     * come is waited for; to be called until the connection has gone.
+     * Ends it at the program's end: at once where it rests, with its answer where a request is open, as the head of
+     * that answer may have gone out before and told the client nothing. A head of which a part has come is waited for;
+     * to be called until the connection has gone.
      */
     void end() {
         if (!ended && (open != null || !begun)) {
@@ -180,9 +200,8 @@
     }
 
     /**
-     * Ends it where no request is open; one that has come meanwhile is still answered. A part of a head is
-     * given up, unless the rest of it is read at this very moment: closed then, its request would be sent on
-     * and lost.
+     * Ends it where no request is open; one that has come meanwhile is still answered. A part of a head is given up,
+     * unless the rest of it is read at this very moment: closed then, its request would be sent on and lost.
      */
     void close() {
         synchronized (this) {
--- a/src/main/java/dunlinladder/wire/HeadParser.java
+++ b/src/main/java/dunlinladder/wire/HeadParser.java
@@ -17,10 +17,9 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Reads heads with a bound on their length, and takes none whose body could be measured in two ways: what one
- * side takes for a body, the other would take for a request behind it. HttpCore's parser alone bounds lines
- * and their count, prefers one of two lengths, and takes what has come of a head for all of it when the
- * connection ends.
+ * Reads heads with a bound on their length, and takes none whose body could be measured in two ways: what one side
+ * takes for a body, the other would take for a request behind it. HttpCore's parser alone bounds lines and their count,
+ * prefers one of two lengths, and takes what has come of a head for all of it when the connection ends.
  */
 public final class HeadParser<T extends HttpMessage> implements NHttpMessageParser<T> {
 
@@ -42,8 +41,11 @@
 
     /** HttpCore's settings for both sides of the gateway, with the bounds on a head that it has itself. */
     public static Http1Config config(Limits limits) {
-        return Http1Config.custom().setBufferSize(4096).setMaxHeaderCount(100)
-                .setMaxLineLength(limits.headBytes()).build();
+        return Http1Config.custom()
+                .setBufferSize(4096)
+                .setMaxHeaderCount(100)
+                .setMaxLineLength(limits.headBytes())
+                .build();
     }
 
     @Override
@@ -103,7 +105,7 @@
                         throw new ProtocolException("Transfer-Encoding is not chunked");
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         if (lengths + codings > 1) {
--- a/src/main/java/dunlinladder/wire/Json.java
+++ b/src/main/java/dunlinladder/wire/Json.java
@@ -62,8 +62,7 @@
         /** Creates a reader of UTF-8 text; {@code blank} hears of each piece that held white space alone. */
         public Values(InputStream in, Runnable blank) throws IOException {
             // By way of a reader: told the encoding, the parser does not wait for four bytes to guess it.
-            parser = FACTORY.createParser(new InputStreamReader(new Blanks(in, blank),
-                    StandardCharsets.UTF_8));
+            parser = FACTORY.createParser(new InputStreamReader(new Blanks(in, blank), StandardCharsets.UTF_8));
         }
 
         /** The next object once all of it has come, null at the end. */
@@ -231,12 +230,14 @@
         if (value >= least && value <= most) {
             return value;
         }
-        throw new BadInput(where + "." + name + " must be " + (least == Double.MIN_VALUE ? "over 0"
-                : plain(least) + " or more") + " and at most " + plain(most) + ", not " + plain(value));
+        throw new BadInput(
+                where + "." + name + " must be " + (least == Double.MIN_VALUE ? "over 0" : plain(least) + " or more")
+                        + " and at most " + plain(most) + ", not " + plain(value));
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
@@ -255,12 +256,15 @@
     /** A list of such values. */
     public <T> List<T> choices(String name, Map<String, T> meaning) {
         return texts(name).stream()
-                .map(text -> new Json(where, Map.of(name, text)).choice(name, null, meaning)).toList();
+                .map(text -> new Json(where, Map.of(name, text)).choice(name, null, meaning))
+                .toList();
     }
 
     /** Where fields stand that are not among those known. */
     public List<String> unknown(Set<String> known) {
-        return fields.keySet().stream().filter(name -> !known.contains(name)).map(name -> where + "." + name)
+        return fields.keySet().stream()
+                .filter(name -> !known.contains(name))
+                .map(name -> where + "." + name)
                 .toList();
     }
 
@@ -329,7 +333,8 @@
 
     /** Checks names that stand at {@code where}: at least one, none of them empty or there twice. */
     public static List<String> names(String where, List<String> names) {
-        if (names.isEmpty() || names.stream().anyMatch(String::isBlank)
+        if (names.isEmpty()
+                || names.stream().anyMatch(String::isBlank)
                 || names.stream().distinct().count() < names.size()) {
             throw new BadInput(where + " must hold names, none of them empty or twice: " + names);
         }
--- a/src/main/java/dunlinladder/wire/Server.java
+++ b/src/main/java/dunlinladder/wire/Server.java
@@ -36,13 +36,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
     // ResponseConnControl is left out: it closes the connection after every 503.
-    private final HttpProcessor processor = HttpProcessorBuilder.create().add(new RequestValidateHost())
-            .addAll(new ResponseContent(), new ResponseDate()).build();
+    private final HttpProcessor processor = HttpProcessorBuilder.create()
+            .add(new RequestValidateHost())
+            .addAll(new ResponseContent(), new ResponseDate())
+            .build();
     private final Http1Config config;
     private final HttpAsyncServer server;
     private final Map<String, ClientConnection> connections = new ConcurrentHashMap<>();
     /** Accepted connections that their reactor has not yet taken up. */
     private final AtomicInteger handedOver = new AtomicInteger();
+
     private final Limits limits;
     private final int most;
     private final Supplier<? extends ServerExchange> exchanges;
@@ -54,23 +57,36 @@
         this.limits = limits;
         this.exchanges = exchanges;
         config = HeadParser.config(limits);
-        server = new HttpAsyncServer(this::connection, IOReactorConfig.custom().setIoThreadCount(1)
-                .setTcpNoDelay(true).setSoReuseAddress(true).setBacklogSize(1024)
-                .setSoTimeout(Timeout.DISABLED).setSelectInterval(TimeValue.ofMilliseconds(50)).build(), null,
-                e -> LOG.warn("server: {}", e.toString()), new Ends(), null, this::admit, "localhost");
+        server = new HttpAsyncServer(
+                this::connection,
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setTcpNoDelay(true)
+                        .setSoReuseAddress(true)
+                        .setBacklogSize(1024)
+                        .setSoTimeout(Timeout.DISABLED)
+                        .setSelectInterval(TimeValue.ofMilliseconds(50))
+                        .build(),
+                null,
+                e -> LOG.warn("server: {}", e.toString()),
+                new Ends(),
+                null,
+                this::admit,
+                "localhost");
         server.start();
     }
 
     /**
-     * Runs on the accepting thread before a connection is handed to its reactor. While there are too many,
-     * the one that has been without a request longest is closed, and the next ones wait in the listen queue:
-     * HttpCore's listener would accept them all, and ends for good when the descriptors run out.
+     * Runs on the accepting thread before a connection is handed to its reactor. While there are too many, the one that
+     * has been without a request longest is closed, and the next ones wait in the listen queue: HttpCore's listener
+     * would accept them all, and ends for good when the descriptors run out.
      */
     private int admit(IOWorkerStats[] workers) {
         handedOver.incrementAndGet();
         try {
             while (connections.size() + handedOver.get() > most) {
-                connections.values().stream().filter(each -> each.idle() > limits.evictSeconds())
+                connections.values().stream()
+                        .filter(each -> each.idle() > limits.evictSeconds())
                         .max(Comparator.comparingDouble(ClientConnection::idle))
                         .ifPresent(ClientConnection::close);
                 Thread.sleep(1);
@@ -94,7 +110,8 @@
             endpoint = server.listen(address, URIScheme.HTTP).get();
             return ((InetSocketAddress) endpoint.getAddress()).getPort();
         } catch (ExecutionException e) {
-            throw new IOException("cannot listen on " + address + ": " + e.getCause().getMessage(), e);
+            throw new IOException(
+                    "cannot listen on " + address + ": " + e.getCause().getMessage(), e);
         }
     }
 
@@ -109,8 +126,8 @@
     }
 
     /**
-     * Closes the connections on which nothing is going on; the others close after their answer. To be called
-     * until it returns true: none is left, nor on its way in.
+     * Closes the connections on which nothing is going on; the others close after their answer. To be called until it
+     * returns true: none is left, nor on its way in.
      */
     public boolean closeIdle() {
         connections.values().forEach(ClientConnection::end);
--- a/src/main/java/dunlinladder/wire/ServerExchange.java
+++ b/src/main/java/dunlinladder/wire/ServerExchange.java
@@ -31,8 +31,8 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * One request from a client and its answer: gathers a body up to a limit, then sends either one whole answer
- * or a stream. What is to be written may come from any thread; it is written as the client takes it.
+ * One request from a client and its answer: gathers a body up to a limit, then sends either one whole answer or a
+ * stream. What is to be written may come from any thread; it is written as the client takes it.
  */
 public abstract class ServerExchange implements AsyncServerExchangeHandler {
 
@@ -48,8 +48,9 @@
     private int counted;
     /** Answered or given up before its body was here, which is then read and thrown away. */
     private volatile boolean refused;
+
     private boolean whole;
-    private Runnable onOver = () -> { };
+    private Runnable onOver = () -> {};
     private ResponseChannel response;
     private HttpContext context;
 
@@ -61,14 +62,13 @@
     private boolean over;
     private long progressAt;
 
-    private record Piece(ByteBuffer bytes, IntConsumer taken) { }
+    private record Piece(ByteBuffer bytes, IntConsumer taken) {}
 
     /**
-     * Creates an exchange; {@code closing} tells whether connections are to close with their answer,
-     * {@code bodies} counts the bytes of all bodies that are held.
+     * Creates an exchange; {@code closing} tells whether connections are to close with their answer, {@code bodies}
+     * counts the bytes of all bodies that are held.
      */
-    protected ServerExchange(Dispatcher dispatcher, Limits limits, BooleanSupplier closing,
-            AtomicLong bodies) {
+    protected ServerExchange(Dispatcher dispatcher, Limits limits, BooleanSupplier closing, AtomicLong bodies) {
         this.dispatcher = dispatcher;
         this.closing = closing;
         this.mostBody = limits.bodyBytes();
@@ -98,9 +98,8 @@
     }
 
     /**
-     * Has the core take a request, which ends with this exchange; false when its id is in use. One that
-     * comes as late as the connections close is refused: where engines hang the kill would find it
-     * unanswered.
+     * Has the core take a request, which ends with this exchange; false when its id is in use. One that comes as late
+     * as the connections close is refused: where engines hang the kill would find it unanswered.
      */
     protected final boolean take(Request core, Client client) {
         if (closing.getAsBoolean()) {
@@ -140,7 +139,7 @@
     protected final void answer(int status, String type, String text, Map<String, String> headers) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         head(status, headers, new BasicEntityDetails(bytes.length, ContentType.parse(type)));
-        write(ByteBuffer.wrap(bytes), n -> { });
+        write(ByteBuffer.wrap(bytes), n -> {});
         finish();
     }
 
@@ -253,8 +252,9 @@
     // ---- The request ----
 
     @Override
-    public final void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel channel,
-            HttpContext exchangeContext) throws HttpException, IOException {
+    public final void handleRequest(
+            HttpRequest head, EntityDetails entity, ResponseChannel channel, HttpContext exchangeContext)
+            throws HttpException, IOException {
         request = head;
         response = channel;
         context = exchangeContext;
@@ -278,8 +278,8 @@
     }
 
     /**
-     * What follows a refusal is read for a while all the same: a close midway could lose the answer. The sum
-     * of all bodies is bounded, as many clients with long bodies would fill the memory.
+     * What follows a refusal is read for a while all the same: a close midway could lose the answer. The sum of all
+     * bodies is bounded, as many clients with long bodies would fill the memory.
      */
     @Override
     public final void consume(ByteBuffer source) throws IOException {
--- a/src/main/java/dunlinladder/wire/chat/ChatError.java
+++ b/src/main/java/dunlinladder/wire/chat/ChatError.java
@@ -29,8 +29,9 @@
 
     /** The error object in a client's format. */
     String json(Format format) {
-        return format == Format.CHAT ? json() : Faults.write(format, new Fault(kind(), getMessage(), param))
-                .toString();
+        return format == Format.CHAT
+                ? json()
+                : Faults.write(format, new Fault(kind(), getMessage(), param)).toString();
     }
 
     /** The status in a client's format. */
@@ -56,8 +57,13 @@
     String json() {
         Map<String, Object> error = new LinkedHashMap<>();
         error.put("message", getMessage());
-        error.put("type", status == 429 ? "rate_limit_error" : status >= 500 ? "server_error"
-                : status == 401 ? "authentication_error" : "invalid_request_error");
+        error.put(
+                "type",
+                status == 429
+                        ? "rate_limit_error"
+                        : status >= 500
+                                ? "server_error"
+                                : status == 401 ? "authentication_error" : "invalid_request_error");
         error.put("param", param);
         error.put("code", code);
         return Json.write(Map.of("error", error));
--- a/src/main/java/dunlinladder/wire/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/wire/chat/ChatExchange.java
@@ -44,16 +44,23 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * One request in any of the published formats; its client as the core sees it. Where the engines speak the
- * client's own format its body goes on as it came, else it is translated there and its answer back.
+ * One request in any of the published formats; its client as the core sees it. Where the engines speak the client's own
+ * format its body goes on as it came, else it is translated there and its answer back.
  */
 public final class ChatExchange extends ServerExchange implements Client, Outgoing {
 
     private static final String JSON = "application/json";
 
     /** What all exchanges of this front share. */
-    public record Shared(Dispatcher dispatcher, ChatSettings settings, Routing routing, Engines engines,
-            Clock clock, Limits limits, BooleanSupplier closing, AtomicLong bodies) { }
+    public record Shared(
+            Dispatcher dispatcher,
+            ChatSettings settings,
+            Routing routing,
+            Engines engines,
+            Clock clock,
+            Limits limits,
+            BooleanSupplier closing,
+            AtomicLong bodies) {}
 
     private static final String MODELS = "/v1/models";
 
@@ -65,13 +72,16 @@
     private Format format = Format.CHAT;
     /** Null where all engines speak the client's own format. */
     private Conversation talk;
+
     private Routing.Ask ask;
     private Format rendered;
     /** The generation to which the engine of the last attempt belonged when it was sent. */
     private volatile String sentIn;
+
     private byte[] forward;
     /** Of the attempt that is out; null where its engine speaks the client's own format. */
     private volatile Translation translation;
+
     private volatile Fault rejection;
     private final List<String> warnings = new ArrayList<>();
     private String id;
@@ -88,32 +98,43 @@
     }
 
     /**
-     * Translates a little in each direction, so that the first clients do not wait, and their attempts run
-     * out of time, while classes are loaded.
+     * Translates a little in each direction, so that the first clients do not wait, and their attempts run out of time,
+     * while classes are loaded.
      */
     public static void warm(Collection<Format> engines) {
         ReplyWriter.Identity identity = new ReplyWriter.Identity("0", "warm", 0, true, false, null);
-        List<ReplyEvent> answer = List.of(new ReplyEvent.Begin("0", "warm", 0),
-                new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null), new ReplyEvent.Grow(0, 0, "a", null),
-                new ReplyEvent.Close(0, 0), new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
-                new ReplyEvent.Usage(1, 0, 1, 0), new ReplyEvent.End());
+        List<ReplyEvent> answer = List.of(
+                new ReplyEvent.Begin("0", "warm", 0),
+                new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null),
+                new ReplyEvent.Grow(0, 0, "a", null),
+                new ReplyEvent.Close(0, 0),
+                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
+                new ReplyEvent.Usage(1, 0, 1, 0),
+                new ReplyEvent.End());
         for (Format from : engines) {
             ReplyWriter writer = ReplyWriter.of(from, identity);
             StringBuilder events = new StringBuilder();
             answer.forEach(event -> events.append(writer.stream(event)));
             byte[] stream = events.toString().getBytes(StandardCharsets.UTF_8);
             for (Format to : Format.values()) {
-                String talk = to == Format.COMPLETIONS ? "\"prompt\":\"a\"" : to == Format.RESPONSES
-                        ? "\"input\":\"a\"" : "\"max_tokens\":1,\"messages\":[{\"role\":\"user\","
-                        + "\"content\":\"a\"}]";
-                Requests.write(from, Requests.read(to, Pieces.body(("{\"model\":\"warm\"," + talk + "}")
-                        .getBytes(
-                        StandardCharsets.UTF_8)), Requests.Unknown.PASS, new ArrayList<>()), 1,
+                String talk = to == Format.COMPLETIONS
+                        ? "\"prompt\":\"a\""
+                        : to == Format.RESPONSES
+                                ? "\"input\":\"a\""
+                                : "\"max_tokens\":1,\"messages\":[{\"role\":\"user\"," + "\"content\":\"a\"}]";
+                Requests.write(
+                        from,
+                        Requests.read(
+                                to,
+                                Pieces.body(("{\"model\":\"warm\"," + talk + "}").getBytes(StandardCharsets.UTF_8)),
+                                Requests.Unknown.PASS,
+                                new ArrayList<>()),
+                        1,
                         new ArrayList<>());
                 for (boolean streamed : new boolean[] {true, false}) {
                     Translation translation = new Translation(from, to, identity, streamed);
-                    translation.stream(ByteBuffer.wrap(stream), text -> { });
-                    translation.end(text -> { });
+                    translation.stream(ByteBuffer.wrap(stream), text -> {});
+                    translation.end(text -> {});
                     if (!streamed) {
                         translation.answer();
                     }
@@ -128,7 +149,9 @@
         try {
             String path = path(head);
             boolean models = path.equals(MODELS) || path.startsWith(MODELS + "/");
-            Format asked = Arrays.stream(Format.values()).filter(f -> f.path().equals(path)).findFirst()
+            Format asked = Arrays.stream(Format.values())
+                    .filter(f -> f.path().equals(path))
+                    .findFirst()
                     .orElse(null);
             if (!models && asked == null) {
                 throw new ChatError(404, "unknown path " + path, null, "not_found");
@@ -140,10 +163,15 @@
                 answer(405, JSON, error.json(format), Map.of("Allow", method));
                 return;
             }
-            int tenant = tenant(header(head, "x-api-key") == null ? header(head, "Authorization")
-                    : "Bearer " + header(head, "x-api-key"));
+            int tenant = tenant(
+                    header(head, "x-api-key") == null
+                            ? header(head, "Authorization")
+                            : "Bearer " + header(head, "x-api-key"));
             if (models) {
-                answer(200, JSON, path.equals(MODELS) ? models() : model(path.substring(MODELS.length() + 1)),
+                answer(
+                        200,
+                        JSON,
+                        path.equals(MODELS) ? models() : model(path.substring(MODELS.length() + 1)),
                         Map.of());
                 return;
             }
@@ -156,11 +184,17 @@
             if (!plain) {
                 fit(formats, now);
             }
-            take(request.toCore(id, tenant, now + shared.settings.deadlines().get(request.kind()
-                    .serviceClass()), this, engine -> {
-                Engine listed = shared.engines.find(engine);
-                return listed != null && shared.routing.may(listed, ask, shared.clock.now());
-            }), this);
+            take(
+                    request.toCore(
+                            id,
+                            tenant,
+                            now + shared.settings.deadlines().get(request.kind().serviceClass()),
+                            this,
+                            engine -> {
+                                Engine listed = shared.engines.find(engine);
+                                return listed != null && shared.routing.may(listed, ask, shared.clock.now());
+                            }),
+                    this);
         } catch (ChatError e) {
             answer(e.status(format), JSON, e.json(format), Map.of());
         }
@@ -183,13 +217,10 @@
     }
 
     private static ChatError refused(Untranslatable e) {
-        return new ChatError(400, e.getMessage(), e.field(),
-                e.malformed() ? "invalid_value" : "unsupported_parameter");
+        return new ChatError(400, e.getMessage(), e.field(), e.malformed() ? "invalid_value" : "unsupported_parameter");
     }
 
-    /**
-     * Finds out which formats can express the request; where no engine speaks one, the client is told now.
-     */
+    /** Finds out which formats can express the request; where no engine speaks one, the client is told now. */
     private void fit(Collection<Format> formats, double now) {
         for (Format each : formats) {
             String field = Requests.lacking(each, talk);
@@ -207,9 +238,11 @@
         }
         shared.routing.asked(ask, now);
         shared.routing.hopeless(ask, now).ifPresent(field -> {
-            throw new ChatError(400, field
-                    + " can't be expressed in any format that the model's servers speak",
-                    field, "unsupported_parameter");
+            throw new ChatError(
+                    400,
+                    field + " can't be expressed in any format that the model's servers speak",
+                    field,
+                    "unsupported_parameter");
         });
     }
 
@@ -225,10 +258,15 @@
             translation = null;
             return new Forward("POST", engines.path(), JSON, request.forward());
         }
-        String echo = talk.flag(Setting.ECHO) && engines != Format.COMPLETIONS ? talk.turns().get(0).text()
+        String echo = talk.flag(Setting.ECHO) && engines != Format.COMPLETIONS
+                ? talk.turns().get(0).text()
                 : null;
-        translation = new Translation(engines, format, new ReplyWriter.Identity(id, request.model(),
-                (long) shared.clock.now(), request.usage(), talk.legacy(), echo), request.stream());
+        translation = new Translation(
+                engines,
+                format,
+                new ReplyWriter.Identity(
+                        id, request.model(), (long) shared.clock.now(), request.usage(), talk.legacy(), echo),
+                request.stream());
         return new Forward("POST", engines.path(), JSON, render(engines));
     }
 
@@ -261,11 +299,15 @@
             shared.routing.knowsNot(engine, now);
             return;
         }
-        boolean ok = outcome.ending() == Outcome.Ending.OK || outcome.ending() == Outcome.Ending.READ
+        boolean ok = outcome.ending() == Outcome.Ending.OK
+                || outcome.ending() == Outcome.Ending.READ
                 || outcome.ending() == Outcome.Ending.REJECTED;
-        shared.routing.ended(engine, ok || !Double.isNaN(firstSeconds), !ok
-                && outcome.ending() != Outcome.Ending.CANCELLED && outcome.ending() != Outcome.Ending.FULL,
-                firstSeconds, now);
+        shared.routing.ended(
+                engine,
+                ok || !Double.isNaN(firstSeconds),
+                !ok && outcome.ending() != Outcome.Ending.CANCELLED && outcome.ending() != Outcome.Ending.FULL,
+                firstSeconds,
+                now);
     }
 
     @Override
@@ -297,8 +339,14 @@
     }
 
     private String models() {
-        return Json.write(Map.of("object", "list", "data", shared.settings.models().keySet().stream().sorted()
-                .map(ChatExchange::describe).toList()));
+        return Json.write(Map.of(
+                "object",
+                "list",
+                "data",
+                shared.settings.models().keySet().stream()
+                        .sorted()
+                        .map(ChatExchange::describe)
+                        .toList()));
     }
 
     private String model(String name) {
@@ -312,8 +360,8 @@
 
     @Override
     protected void tooLong() {
-        ChatError error = new ChatError(413, "the body is over " + shared.limits.bodyBytes() + " bytes", null,
-                "request_too_large");
+        ChatError error = new ChatError(
+                413, "the body is over " + shared.limits.bodyBytes() + " bytes", null, "request_too_large");
         answer(413, JSON, error.json(format), Map.of());
     }
 
@@ -425,7 +473,7 @@
     }
 
     private void close() {
-        write(outgoing(), n -> { });
+        write(outgoing(), n -> {});
         finish();
     }
 
@@ -480,28 +528,31 @@
     public void refuse(double retryAfter) {
         double advice = retryAfter > 0 ? retryAfter : shared.limits.retryAfterSeconds();
         ChatError error = new ChatError(429, "no capacity now; trying again is harmless", null, "overloaded");
-        answer(error.status(format), JSON, error.json(format), Map.of("Retry-After",
-                Long.toString((long) Math.ceil(advice))));
+        answer(error.status(format), JSON, error.json(format), Map.of("Retry-After", Long.toString((long)
+                Math.ceil(advice))));
     }
 
     @Override
     public void fail(Failure why) {
         if (why == Failure.REQUEST) {
-            answer(Faults.status(format, rejection.kind()), JSON, Faults.write(format, rejection).toString(),
+            answer(
+                    Faults.status(format, rejection.kind()),
+                    JSON,
+                    Faults.write(format, rejection).toString(),
                     headers(Map.of()));
             return;
         }
-        fail(switch (why) {
-            case TIMEOUT -> new ChatError(504, "no answer in time", null, "timeout");
-            case ENGINE -> new ChatError(502, "the model server failed", null, "upstream_error");
-            case INTERNAL, REQUEST -> new ChatError(500, "the gateway failed", null, "internal_error");
-        });
+        fail(
+                switch (why) {
+                    case TIMEOUT -> new ChatError(504, "no answer in time", null, "timeout");
+                    case ENGINE -> new ChatError(502, "the model server failed", null, "upstream_error");
+                    case INTERNAL, REQUEST -> new ChatError(500, "the gateway failed", null, "internal_error");
+                });
     }
 
     /** Client libraries repeat a 5xx by themselves; this header keeps them from running a request twice. */
     private void fail(ChatError error) {
         boolean once = shared.settings.once().get(request.kind().serviceClass());
-        answer(error.status(format), JSON, error.json(format), once ? Map.of("X-Should-Retry", "false")
-                : Map.of());
+        answer(error.status(format), JSON, error.json(format), once ? Map.of("X-Should-Retry", "false") : Map.of());
     }
 }
--- a/src/main/java/dunlinladder/wire/chat/ChatRequest.java
+++ b/src/main/java/dunlinladder/wire/chat/ChatRequest.java
@@ -20,11 +20,19 @@
  *
  * @param usage whether the client asked for the usage at the stream's end
  */
-record ChatRequest(String model, ChatSettings.Model kind, boolean stream, boolean usage, double promptTokens,
-        double prefixTokens, double maxOut, long session, long prefix, byte[] forward) {
+record ChatRequest(
+        String model,
+        ChatSettings.Model kind,
+        boolean stream,
+        boolean usage,
+        double promptTokens,
+        double prefixTokens,
+        double maxOut,
+        long session,
+        long prefix,
+        byte[] forward) {
 
-    private static final Set<String> ROLES
-            = Set.of("system", "developer", "user", "assistant", "tool", "function");
+    private static final Set<String> ROLES = Set.of("system", "developer", "user", "assistant", "tool", "function");
     private static final double CHARACTERS_PER_TOKEN = 4;
 
     /** Reads a request's body; throws a {@link ChatError} for what the API does not allow. */
@@ -73,11 +81,16 @@
             }
         }
         boolean stream = body.flag("stream");
-        return new ChatRequest(model, kind, stream,
+        return new ChatRequest(
+                model,
+                kind,
+                stream,
                 body.childOrEmpty("stream_options").flag("include_usage"),
                 Math.ceil(characters / CHARACTERS_PER_TOKEN),
-                shared == null ? 0 : Math.floor(shared.length() / CHARACTERS_PER_TOKEN), most,
-                RequestReader.key(opening.toString()), shared == null ? 0 : RequestReader.key(shared),
+                shared == null ? 0 : Math.floor(shared.length() / CHARACTERS_PER_TOKEN),
+                most,
+                RequestReader.key(opening.toString()),
+                shared == null ? 0 : RequestReader.key(shared),
                 stream ? content : streamed(body));
     }
 
@@ -88,8 +101,7 @@
             StringBuilder text = new StringBuilder();
             for (Json part : message.children("content")) {
                 if (!part.text("type").equals("text")) {
-                    throw ChatError.invalid("only text parts are taken, not " + part.text("type"),
-                            "messages");
+                    throw ChatError.invalid("only text parts are taken, not " + part.text("type"), "messages");
                 }
                 text.append(part.text("text"));
             }
@@ -116,11 +128,17 @@
             }
             shared = turn == talk.turns().get(0) && instruction ? text : shared;
         }
-        return new ChatRequest(model, kind, talk.flag(Setting.STREAM), talk.flag(Setting.STREAM_USAGE),
+        return new ChatRequest(
+                model,
+                kind,
+                talk.flag(Setting.STREAM),
+                talk.flag(Setting.STREAM_USAGE),
                 Math.ceil(characters / CHARACTERS_PER_TOKEN),
                 shared == null ? 0 : Math.floor(shared.length() / CHARACTERS_PER_TOKEN),
-                talk.number(Setting.MAX_OUTPUT, kind.mostTokens()), RequestReader.key(opening.toString()),
-                shared == null ? 0 : RequestReader.key(shared), null);
+                talk.number(Setting.MAX_OUTPUT, kind.mostTokens()),
+                RequestReader.key(opening.toString()),
+                shared == null ? 0 : RequestReader.key(shared),
+                null);
     }
 
     /** What a model's name stands for; throws a {@link ChatError} where it is not known. */
@@ -141,7 +159,19 @@
 
     /** The request as the core knows it. */
     Request toCore(String id, int tenant, double deadline, Payload payload, Predicate<String> fits) {
-        return new Request(id, kind.serviceClass(), tenant, session, prefix, promptTokens, prefixTokens,
-                maxOut, deadline, false, false, payload, fits);
+        return new Request(
+                id,
+                kind.serviceClass(),
+                tenant,
+                session,
+                prefix,
+                promptTokens,
+                prefixTokens,
+                maxOut,
+                deadline,
+                false,
+                false,
+                payload,
+                fits);
     }
 }
--- a/src/main/java/dunlinladder/wire/discovery/HostReader.java
+++ b/src/main/java/dunlinladder/wire/discovery/HostReader.java
@@ -31,12 +31,20 @@
                 default -> throw new BadInput("unknown health " + host.text("health"));
             };
             // born_ms is Unix time, as the clock's seconds are.
-            engines.add(new Engine(host.text("host"), host.text("dial", ""), index(zones, host, "site"),
-                    index(kinds, host, "class"), (int) host.integer("block", 0), state,
-                    host.number("share", 1), host.number("born_ms", 0) / 1e3));
+            engines.add(new Engine(
+                    host.text("host"),
+                    host.text("dial", ""),
+                    index(zones, host, "site"),
+                    index(kinds, host, "class"),
+                    (int) host.integer("block", 0),
+                    state,
+                    host.number("share", 1),
+                    host.number("born_ms", 0) / 1e3));
         }
-        return new News(message.integer("seq"), cached ? Decider.Scope.CACHED
-                : message.flag("whole") ? Decider.Scope.COMPLETE : Decider.Scope.CHANGES, engines);
+        return new News(
+                message.integer("seq"),
+                cached ? Decider.Scope.CACHED : message.flag("whole") ? Decider.Scope.COMPLETE : Decider.Scope.CHANGES,
+                engines);
     }
 
     private static int index(List<String> names, Json host, String field) {
--- a/src/main/java/dunlinladder/wire/discovery/Watch.java
+++ b/src/main/java/dunlinladder/wire/discovery/Watch.java
@@ -22,14 +22,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows discovery over HTTP as {@link Following} says, each link on a thread of its own. Until there is
- * news the last list stands. News is taken in by the thread that read it, so that nothing waits behind it.
+ * Follows discovery over HTTP as {@link Following} says, each link on a thread of its own. Until there is news the last
+ * list stands. News is taken in by the thread that read it, so that nothing waits behind it.
  */
 public final class Watch implements Runnable {
 
     private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
     /** Shortest and longest sleep between looks at the clock, in seconds. */
     private static final double SLEEP_LEAST = 0.02;
+
     private static final double SLEEP_MOST = 1;
 
     private final HostReader reader;
@@ -40,11 +41,10 @@
     private Following state;
 
     /**
-     * Creates a watch for what came after {@code version}; {@code seed} feeds the pauses between calls,
-     * {@code news} is told in order, one at a time.
+     * Creates a watch for what came after {@code version}; {@code seed} feeds the pauses between calls, {@code news} is
+     * told in order, one at a time.
      */
-    public Watch(HostReader reader, Timing timing, Clock clock, long version, long seed,
-            Consumer<News> news) {
+    public Watch(HostReader reader, Timing timing, Clock clock, long version, long seed, Consumer<News> news) {
         this.reader = reader;
         this.timing = timing;
         this.clock = clock;
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Whether discovery has written what is not yet read. A send that is about to start waits for it: what
-     * is told counts from when it was written, however long the reading thread has to wait for a core.
+     * Whether discovery has written what is not yet read. A send that is about to start waits for it: what is told
+     * counts from when it was written, however long the reading thread has to wait for a core.
      */
     public boolean unread() {
         for (Link link : open.values()) {
@@ -117,8 +117,7 @@
             news.accept(told);
             return true;
         } catch (RuntimeException e) {
-            LOG.error("list version {} could not be taken in; the whole list is asked for", told.version(),
-                    e);
+            LOG.error("list version {} could not be taken in; the whole list is asked for", told.version(), e);
             return false;
         }
     }
@@ -149,7 +148,9 @@
 
         boolean unread() {
             try {
-                return socket.isConnected() && !socket.isClosed() && socket.getInputStream().available() > 0;
+                return socket.isConnected()
+                        && !socket.isClosed()
+                        && socket.getInputStream().available() > 0;
             } catch (IOException e) {
                 return false;
             }
@@ -166,8 +167,10 @@
                     LOG.warn("discovery at {}: {}", wanted.address(), e.toString());
                 }
             } catch (BadInput e) {
-                LOG.warn("discovery at {} sent what can't be read, the whole list is asked for: {}",
-                        wanted.address(), e.getMessage());
+                LOG.warn(
+                        "discovery at {} sent what can't be read, the whole list is asked for: {}",
+                        wanted.address(),
+                        e.getMessage());
                 end = new Event.Unreadable(wanted.link());
             } catch (RuntimeException | OutOfMemoryError e) {
                 // This thread must not end in silence: without its link the list would stand still for good.
@@ -184,12 +187,14 @@
             int colon = wanted.address().lastIndexOf(':');
             try (DefaultBHttpClientConnection connection = new DefaultBHttpClientConnection(null)) {
                 socket.setTcpNoDelay(true);
-                socket.connect(new InetSocketAddress(wanted.address().substring(0, colon),
-                        Integer.parseInt(wanted.address().substring(colon + 1))),
+                socket.connect(
+                        new InetSocketAddress(
+                                wanted.address().substring(0, colon),
+                                Integer.parseInt(wanted.address().substring(colon + 1))),
                         (int) (timing.openSeconds() * 1000));
                 connection.bind(socket);
-                BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET",
-                        "/discovery/hosts?follow=1&since=" + wanted.since());
+                BasicClassicHttpRequest request =
+                        new BasicClassicHttpRequest("GET", "/discovery/hosts?follow=1&since=" + wanted.since());
                 request.setHeader("Host", wanted.address());
                 connection.sendRequestHeader(request);
                 connection.flush();
@@ -200,8 +205,8 @@
                 }
                 on(new Event.Answered(wanted.link()));
                 connection.receiveResponseEntity(response);
-                Json.Values lists = new Json.Values(response.getEntity().getContent(),
-                        () -> on(new Event.Beat(wanted.link())));
+                Json.Values lists =
+                        new Json.Values(response.getEntity().getContent(), () -> on(new Event.Beat(wanted.link())));
                 for (Json list = lists.next(); list != null; list = lists.next()) {
                     on(new Event.Told(wanted.link(), reader.read(list, false)));
                 }
--- a/src/main/java/dunlinladder/wire/engine/Connections.java
+++ b/src/main/java/dunlinladder/wire/engine/Connections.java
@@ -46,9 +46,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Outgoing connections: HttpCore's requester opens them and its pool keeps them. The pool holds the bare
- * sessions rather than endpoints, because an attempt is given up by closing its connection at once, while
- * an endpoint's own release waits for the exchange to end. Nothing here sends anything twice.
+ * Outgoing connections: HttpCore's requester opens them and its pool keeps them. The pool holds the bare sessions
+ * rather than endpoints, because an attempt is given up by closing its connection at once, while an endpoint's own
+ * release waits for the exchange to end. Nothing here sends anything twice.
  */
 public final class Connections implements AutoCloseable {
 
@@ -62,9 +62,11 @@
     private volatile long distrustedAt;
     /** Nanoseconds since this was made at which each address last left a connection fit for reuse. */
     private final Map<String, Long> answered = new ConcurrentHashMap<>();
+
     private final long madeAt = System.nanoTime();
     private final HttpProcessor processor = HttpProcessorBuilder.create()
-            .addAll(new RequestContent(), new RequestTargetHost()).build();
+            .addAll(new RequestContent(), new RequestTargetHost())
+            .build();
     private final Http1Config config;
 
     /** Starts the requester. */
@@ -75,28 +77,61 @@
         this.distrustedAt = System.nanoTime() - (long) (limits.distrustSeconds() * 1e9) - 1;
         this.config = HeadParser.config(limits);
         // The pool's own limit for a route is 5 by default; here only the total binds.
-        pool = new StrictConnPool<>(limits.engineConnections(), limits.engineConnections(),
-                TimeValue.NEG_ONE_MILLISECOND, PoolReusePolicy.LIFO, IOSession::close, null);
-        requester = new HttpAsyncRequester(IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true)
-                .setSoTimeout(Timeout.DISABLED).setSelectInterval(TimeValue.ofMilliseconds(50)).build(),
+        pool = new StrictConnPool<>(
+                limits.engineConnections(),
+                limits.engineConnections(),
+                TimeValue.NEG_ONE_MILLISECOND,
+                PoolReusePolicy.LIFO,
+                IOSession::close,
+                null);
+        requester = new HttpAsyncRequester(
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setTcpNoDelay(true)
+                        .setSoTimeout(Timeout.DISABLED)
+                        .setSelectInterval(TimeValue.ofMilliseconds(50))
+                        .build(),
                 (session, attachment) -> attachment instanceof IOEventHandler own ? own : handler(session),
-                null, null, null, pool, null, null, null, null);
+                null,
+                null,
+                null,
+                pool,
+                null,
+                null,
+                null,
+                null);
         requester.start();
     }
 
     /** HttpCore's client side with our own reading of heads and chunks: an engine may send anything. */
     private IOEventHandler handler(ProtocolIOSession session) {
-        return new ClientHttp1IOEventHandler(new ClientHttp1StreamDuplexer(session, processor, config,
-                CharCodingConfig.DEFAULT, null, new HeadParser<>(new DefaultHttpResponseParserFactory(config)
-                .create(), limits.headBytes(), limits.interimAnswers()),
-                DefaultHttpRequestWriterFactory.INSTANCE.create(), null, null, null) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer buffer, BasicHttpTransportMetrics metrics) throws HttpException {
-                return length == -1 ? new ChunkReader(channel, buffer, limits.chunkBytes())
-                        : super.createContentDecoder(length, channel, buffer, metrics);
-            }
-        });
+        return new ClientHttp1IOEventHandler(
+                new ClientHttp1StreamDuplexer(
+                        session,
+                        processor,
+                        config,
+                        CharCodingConfig.DEFAULT,
+                        null,
+                        new HeadParser<>(
+                                new DefaultHttpResponseParserFactory(config).create(),
+                                limits.headBytes(),
+                                limits.interimAnswers()),
+                        DefaultHttpRequestWriterFactory.INSTANCE.create(),
+                        null,
+                        null,
+                        null) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel channel,
+                            SessionInputBuffer buffer,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return length == -1
+                                ? new ChunkReader(channel, buffer, limits.chunkBytes())
+                                : super.createContentDecoder(length, channel, buffer, metrics);
+                    }
+                });
     }
 
     /** What waits for a connection. */
@@ -109,7 +144,9 @@
     /** Opens a connection beside the pool; its events run on the thread that hears the engines. */
     void open(String address, IOEventHandler handler) throws IOException {
         try {
-            requester.requestSession(host(address), connectTimeout, handler, null).get();
+            requester
+                    .requestSession(host(address), connectTimeout, handler, null)
+                    .get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted before a connection to " + address, e);
@@ -127,36 +164,35 @@
             waiting.notConnected();
             return;
         }
-        pool.lease(host, null, connectTimeout,
-                new Done<PoolEntry<HttpHost, IOSession>>(waiting) {
-                    @Override
-                    public void completed(PoolEntry<HttpHost, IOSession> entry) {
-                        connect(host, entry, waiting);
-                    }
-                });
+        pool.lease(host, null, connectTimeout, new Done<PoolEntry<HttpHost, IOSession>>(waiting) {
+            @Override
+            public void completed(PoolEntry<HttpHost, IOSession> entry) {
+                connect(host, entry, waiting);
+            }
+        });
     }
 
     private void connect(HttpHost host, PoolEntry<HttpHost, IOSession> entry, Waiting waiting) {
-        if (entry.hasConnection() && entry.getConnection().isOpen() && System.nanoTime() - distrustedAt
-                > limits.distrustSeconds() * 1e9) {
+        if (entry.hasConnection()
+                && entry.getConnection().isOpen()
+                && System.nanoTime() - distrustedAt > limits.distrustSeconds() * 1e9) {
             waiting.connected(entry, true);
             return;
         }
         entry.discardConnection(CloseMode.IMMEDIATE);
-        requester.requestSession(host, connectTimeout, null,
-                new Done<IOSession>(waiting) {
-                    @Override
-                    public void completed(IOSession session) {
-                        entry.assignConnection(session);
-                        waiting.connected(entry, false);
-                    }
+        requester.requestSession(host, connectTimeout, null, new Done<IOSession>(waiting) {
+            @Override
+            public void completed(IOSession session) {
+                entry.assignConnection(session);
+                waiting.connected(entry, false);
+            }
 
-                    @Override
-                    public void failed(Exception e) {
-                        pool.release(entry, false);
-                        super.failed(e);
-                    }
-                });
+            @Override
+            public void failed(Exception e) {
+                pool.release(entry, false);
+                super.failed(e);
+            }
+        });
     }
 
     private abstract static class Done<T> implements FutureCallback<T> {
@@ -178,31 +214,34 @@
     }
 
     /**
-     * A kept connection broke under its next request, which may have run and so may be lost. Where engines or
-     * what lies between end idle connections without a word, the next ones would break the same way: for a
-     * while each request gets a connection of its own.
+     * A kept connection broke under its next request, which may have run and so may be lost. Where engines or what lies
+     * between end idle connections without a word, the next ones would break the same way: for a while each request
+     * gets a connection of its own.
      */
     void distrust() {
         distrustedAt = System.nanoTime();
     }
 
     /**
-     * Gives a connection back for the next request, after a moment: an engine may send more behind an answer
-     * than belongs to it, and that must not be taken for the next answer. What comes on a connection that
-     * waits for nothing closes it.
+     * Gives a connection back for the next request, after a moment: an engine may send more behind an answer than
+     * belongs to it, and that must not be taken for the next answer. What comes on a connection that waits for nothing
+     * closes it.
      */
     void giveBack(PoolEntry<HttpHost, IOSession> entry) {
         answered.put(entry.getRoute().toHostString(), System.nanoTime() - madeAt);
-        timer.schedule(() -> {
-            entry.updateExpiry(TimeValue.ofMilliseconds((long) (limits.idleSeconds() * 1000)));
-            pool.release(entry, entry.getConnection().isOpen());
-        }, (long) (limits.restSeconds() * 1e6), TimeUnit.MICROSECONDS);
+        timer.schedule(
+                () -> {
+                    entry.updateExpiry(TimeValue.ofMilliseconds((long) (limits.idleSeconds() * 1000)));
+                    pool.release(entry, entry.getConnection().isOpen());
+                },
+                (long) (limits.restSeconds() * 1e6),
+                TimeUnit.MICROSECONDS);
     }
 
     /**
      * Closes a connection now, whatever it carries. A channel that a selector knows is closed for good by the
-     * selector's thread, when that gets a core; until then the engine would take the attempt for one that is
-     * still out, while its client may already have been refused. So our sending is ended here and at once.
+     * selector's thread, when that gets a core; until then the engine would take the attempt for one that is still out,
+     * while its client may already have been refused. So our sending is ended here and at once.
      */
     void drop(PoolEntry<HttpHost, IOSession> entry) {
         IOSession session = entry.getConnection();
@@ -233,7 +272,8 @@
     /** The authority by which an engine is addressed. */
     static URIAuthority authority(Engine engine) {
         int colon = engine.address().lastIndexOf(':');
-        return new URIAuthority(engine.address().substring(0, colon),
+        return new URIAuthority(
+                engine.address().substring(0, colon),
                 Integer.parseInt(engine.address().substring(colon + 1)));
     }
 
@@ -242,8 +282,8 @@
         try {
             // Named by its address: without a name HttpCore asks DNS for one, which may take seconds.
             String name = address.substring(0, Math.max(0, colon));
-            return new HttpHost(null, InetAddress.getByName(name), name,
-                    Integer.parseInt(address.substring(colon + 1)));
+            return new HttpHost(
+                    null, InetAddress.getByName(name), name, Integer.parseInt(address.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException e) {
             throw new IOException("not an address: " + address, e);
         }
--- a/src/main/java/dunlinladder/wire/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/wire/engine/EngineCall.java
@@ -38,7 +38,11 @@
 final class EngineCall extends Exchange implements EngineCalls.Call {
 
     /** How far it has come; what a break proves depends on it. */
-    private enum Phase { SENDING, SENT, STREAMING }
+    private enum Phase {
+        SENDING,
+        SENT,
+        STREAMING
+    }
 
     private final Attempt attempt;
     private final Outgoing outgoing;
@@ -63,8 +67,14 @@
     private int untaken;
     private double heardAt;
 
-    EngineCall(Connections connections, Gate gate, Clock clock, Limits limits, Attempt attempt,
-            Client client, Runnable first) {
+    EngineCall(
+            Connections connections,
+            Gate gate,
+            Clock clock,
+            Limits limits,
+            Attempt attempt,
+            Client client,
+            Runnable first) {
         super(connections);
         this.attempt = attempt;
         this.outgoing = (Outgoing) attempt.request().payload();
@@ -87,8 +97,8 @@
             double left = waitsUntil() - clock.now();
             try {
                 // The bound moves when the stream begins and with each event: it is looked at now and then.
-                return done.get((long) (Math.max(0, Math.min(left, limits.streamSeconds() / 8)) * 1e9),
-                        TimeUnit.NANOSECONDS);
+                return done.get(
+                        (long) (Math.max(0, Math.min(left, limits.streamSeconds() / 8)) * 1e9), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
                 giveUpIfDue();
             } catch (ExecutionException e) {
@@ -98,11 +108,12 @@
     }
 
     /**
-     * Until its stream begins, as long as the attempt may take. From then on an engine that is silent would
-     * hold its client for good; it is not silent while the client has not taken what came.
+     * Until its stream begins, as long as the attempt may take. From then on an engine that is silent would hold its
+     * client for good; it is not silent while the client has not taken what came.
      */
     private synchronized double waitsUntil() {
-        return phase != Phase.STREAMING ? attempt.until()
+        return phase != Phase.STREAMING
+                ? attempt.until()
                 : (untaken > 0 ? clock.now() : heardAt) + limits.streamSeconds();
     }
 
@@ -111,11 +122,12 @@
             if (clock.now() < waitsUntil()) {
                 return;
             }
-            settle(Outcome.of(switch (phase) {
-                case SENDING -> Ending.CONNECT_FAILED;
-                case SENT -> Ending.TIMEOUT;
-                case STREAMING -> Ending.RESET;
-            }));
+            settle(Outcome.of(
+                    switch (phase) {
+                        case SENDING -> Ending.CONNECT_FAILED;
+                        case SENT -> Ending.TIMEOUT;
+                        case STREAMING -> Ending.RESET;
+                    }));
         }
         finish(false);
     }
@@ -148,8 +160,7 @@
     }
 
     @Override
-    public void produceRequest(RequestChannel channel, HttpContext context)
-            throws HttpException, IOException {
+    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         if (done.isDone()) {
             throw new ConnectionClosedException("given up before it was sent");
         }
@@ -167,8 +178,13 @@
         if (empty) {
             sent();
         }
-        channel.sendRequest(request, empty ? null : new BasicEntityDetails(body.remaining(),
-                forward.contentType() == null ? null : ContentType.parseLenient(forward.contentType())),
+        channel.sendRequest(
+                request,
+                empty
+                        ? null
+                        : new BasicEntityDetails(
+                                body.remaining(),
+                                forward.contentType() == null ? null : ContentType.parseLenient(forward.contentType())),
                 context);
     }
 
@@ -309,8 +325,7 @@
             case 202 -> settle(new Outcome(Ending.READ, Reports.keptInRead(text), report));
             case 410 -> settle(new Outcome(Ending.FULL, 1, report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
-            default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0,
-                    report));
+            default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
         }
         finish(true);
     }
@@ -322,7 +337,9 @@
         } catch (BadInput e) {
             throw new IOException("the stream is spoilt: " + e.getMessage());
         }
-        settle(phase != Phase.STREAMING ? Outcome.of(Ending.RESET)
-                : new Outcome(Ending.OK, events.kept(), report.isEmpty() ? events.report() : report));
+        settle(
+                phase != Phase.STREAMING
+                        ? Outcome.of(Ending.RESET)
+                        : new Outcome(Ending.OK, events.kept(), report.isEmpty() ? events.report() : report));
     }
 }
--- a/src/main/java/dunlinladder/wire/engine/EngineClient.java
+++ b/src/main/java/dunlinladder/wire/engine/EngineClient.java
@@ -27,7 +27,12 @@
     private final AtomicInteger releasing = new AtomicInteger();
 
     /** Creates a client; {@code timer} moves releases on that get no answer. */
-    public EngineClient(Connections connections, Engines engines, Gate gate, Clock clock, Limits limits,
+    public EngineClient(
+            Connections connections,
+            Engines engines,
+            Gate gate,
+            Clock clock,
+            Limits limits,
             ScheduledExecutorService timer) {
         this.connections = connections;
         this.engines = engines;
@@ -50,8 +55,8 @@
         Collections.shuffle(listed);
         List<Engine> order = ReleaseOrder.of(listed, connections.answered());
         releasing.incrementAndGet();
-        timer.execute(new ReleaseCall.Chain(connections, timer, limits, id, order.iterator(),
-                releasing::decrementAndGet)::next);
+        timer.execute(new ReleaseCall.Chain(
+                connections, timer, limits, id, order.iterator(), releasing::decrementAndGet)::next);
     }
 
     /** How many releases no engine has taken yet and are still being tried. */
--- a/src/main/java/dunlinladder/wire/engine/Events.java
+++ b/src/main/java/dunlinladder/wire/engine/Events.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Cuts an engine's stream into whole events and looks at each line before it is passed on, as it came. What
- * is not an event of this protocol is noise, whatever its chunk said, and would be served as an answer.
+ * Cuts an engine's stream into whole events and looks at each line before it is passed on, as it came. What is not an
+ * event of this protocol is noise, whatever its chunk said, and would be served as an answer.
  */
 final class Events {
 
@@ -81,7 +81,9 @@
         }
         String text;
         try {
-            text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(held, start, stop - start))
+            text = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(held, start, stop - start))
                     .toString();
         } catch (CharacterCodingException e) {
             throw new BadInput("a line that is not UTF-8");
--- a/src/main/java/dunlinladder/wire/engine/Exchange.java
+++ b/src/main/java/dunlinladder/wire/engine/Exchange.java
@@ -55,8 +55,8 @@
         if (unwanted) {
             connections.giveBack(leased);
         } else if (mayStart()) {
-            leased.getConnection().enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()),
-                    Command.Priority.NORMAL);
+            leased.getConnection()
+                    .enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
             if (!leased.getConnection().isOpen()) {
                 // A command queued on a session that has just closed may never be looked at.
                 failed(new IOException("closed before the request"));
@@ -142,8 +142,10 @@
             ended = over;
         }
         // What was given up here, or an answer that can't be read, says nothing of kept connections.
-        if (!ended && kept && !answered && (cause instanceof SocketException
-                || cause instanceof ConnectionClosedException)) {
+        if (!ended
+                && kept
+                && !answered
+                && (cause instanceof SocketException || cause instanceof ConnectionClosedException)) {
             connections.distrust();
         }
         finish(false);
--- a/src/main/java/dunlinladder/wire/engine/Outgoing.java
+++ b/src/main/java/dunlinladder/wire/engine/Outgoing.java
@@ -22,7 +22,7 @@
     /**
      * An attempt ended.
      *
-     * @param status       of the engine's answer, 0 where there was none
+     * @param status of the engine's answer, 0 where there was none
      * @param firstSeconds from the attempt's start to its first event, NaN where there was none
      */
     default void ended(Engine engine, Outcome outcome, int status, double firstSeconds) {
--- a/src/main/java/dunlinladder/wire/engine/Pulse.java
+++ b/src/main/java/dunlinladder/wire/engine/Pulse.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a byte that has come waits until the thread that hears the engines reads it: a connection from
- * this process to itself, beside those to the engines. The age of an engine's answer can't be seen, but it
- * has waited in the same row.
+ * How long a byte that has come waits until the thread that hears the engines reads it: a connection from this process
+ * to itself, beside those to the engines. The age of an engine's answer can't be seen, but it has waited in the same
+ * row.
  */
 public final class Pulse implements IOEventHandler, AutoCloseable {
 
@@ -27,6 +27,7 @@
     private final ByteBuffer heard = ByteBuffer.allocate(16);
     /** When the beat that is out was sent, by the system's clock of nanoseconds; 0 while none is out. */
     private long sentAt;
+
     private double last;
 
     /** Opens the connection. */
--- a/src/main/java/dunlinladder/wire/engine/ReleaseCall.java
+++ b/src/main/java/dunlinladder/wire/engine/ReleaseCall.java
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Asks one engine after another until one has answered. One that is silent may be behind a cut, as may
-     * the next: from each silence on one more is asked beside, since what is held has to be let go in time.
-     * All of it runs on the timer's thread.
+     * Asks one engine after another until one has answered. One that is silent may be behind a cut, as may the next:
+     * from each silence on one more is asked beside, since what is held has to be let go in time. All of it runs on the
+     * timer's thread.
      */
     static final class Chain {
         private final Connections connections;
@@ -47,8 +47,13 @@
         private boolean done;
 
         /** {@code over} runs once, when an engine has answered or none is left to be asked. */
-        Chain(Connections connections, ScheduledExecutorService timer, Limits limits, String id,
-                Iterator<Engine> order, Runnable over) {
+        Chain(
+                Connections connections,
+                ScheduledExecutorService timer,
+                Limits limits,
+                String id,
+                Iterator<Engine> order,
+                Runnable over) {
             this.connections = connections;
             this.timer = timer;
             this.limits = limits;
@@ -66,8 +71,7 @@
                 open++;
                 ReleaseCall call = new ReleaseCall(this, order.next());
                 call.start(call.engine.address());
-                timer.schedule(() -> silent(call), (long) (limits.releaseSeconds() * 1e6),
-                        TimeUnit.MICROSECONDS);
+                timer.schedule(() -> silent(call), (long) (limits.releaseSeconds() * 1e6), TimeUnit.MICROSECONDS);
             } else if (open == 0) {
                 LOG.warn("no engine took the release of {}", id);
                 finish();
@@ -118,8 +122,7 @@
     }
 
     @Override
-    public void produceRequest(RequestChannel channel, HttpContext context)
-            throws HttpException, IOException {
+    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         BasicHttpRequest request = new BasicHttpRequest("DELETE", "/internal/reservations/" + chain.id);
         request.setAuthority(Connections.authority(engine));
         channel.sendRequest(request, null, context);
--- a/src/main/java/dunlinladder/wire/engine/Reports.java
+++ b/src/main/java/dunlinladder/wire/engine/Reports.java
@@ -11,11 +11,9 @@
 
     static final String HEADER = "X-Server-Load";
 
-    private static final Pattern FIGURE = Pattern.compile(
-            "-?[0-9]{1,15}(\\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?");
+    private static final Pattern FIGURE = Pattern.compile("-?[0-9]{1,15}(\\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?");
 
-    private Reports() {
-    }
+    private Reports() {}
 
     /** Parses {@code inflight=7,queue=2}; a text that is not all figures gives none, as does null. */
     static Map<String, Double> load(String text) {
@@ -44,8 +42,9 @@
     /** The kept tokens in an event's usage; 0 where it does not say. */
     static double kept(Json event) {
         try {
-            return Math.max(0, event.child("usage").childOrEmpty("prompt_tokens_details")
-                    .number("cached_tokens", 0));
+            return Math.max(
+                    0,
+                    event.child("usage").childOrEmpty("prompt_tokens_details").number("cached_tokens", 0));
         } catch (BadInput e) {
             return 0;
         }
--- a/src/main/java/dunlinladder/wire/platform/PlatformExchange.java
+++ b/src/main/java/dunlinladder/wire/platform/PlatformExchange.java
@@ -21,8 +21,14 @@
     private static final String TEXT = "text/plain; charset=utf-8";
 
     /** What all exchanges of this front share. */
-    public record Shared(Dispatcher dispatcher, RequestReader reader, Clock clock, Limits limits,
-            BooleanSupplier draining, BooleanSupplier closing, AtomicLong bodies) { }
+    public record Shared(
+            Dispatcher dispatcher,
+            RequestReader reader,
+            Clock clock,
+            Limits limits,
+            BooleanSupplier draining,
+            BooleanSupplier closing,
+            AtomicLong bodies) {}
 
     private final Shared shared;
     private boolean open;
@@ -46,8 +52,7 @@
             boolean ready = !shared.draining.getAsBoolean();
             answer(ready ? 200 : 503, TEXT, ready ? "up\n" : "draining\n", Map.of());
         } else {
-            take(head, new Forward(head.getMethod(), head.getRequestUri(), header(head, "Content-Type"),
-                    content), now);
+            take(head, new Forward(head.getMethod(), head.getRequestUri(), header(head, "Content-Type"), content), now);
         }
     }
 
@@ -90,8 +95,7 @@
     @Override
     public void refuse(double retryAfter) {
         double advice = retryAfter > 0 ? retryAfter : shared.limits.retryAfterSeconds();
-        answer(503, TEXT, "refused: trying again is harmless\n",
-                Map.of("Retry-After", Seconds.text(advice)));
+        answer(503, TEXT, "refused: trying again is harmless\n", Map.of("Retry-After", Seconds.text(advice)));
     }
 
     @Override
--- a/src/main/java/dunlinladder/wire/platform/RequestReader.java
+++ b/src/main/java/dunlinladder/wire/platform/RequestReader.java
@@ -16,6 +16,7 @@
     private static final int MOST_ID = 128;
     /** Java's own reading also takes hexadecimal, exponents and a trailing d. */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
+
     private final List<String> classes;
     private final List<Double> deadlines;
     private final List<String> tenants;
@@ -41,13 +42,21 @@
         String prefix = attrs.getOrDefault("prefix", "");
         String session = headers.apply("X-Route-Key");
         String retried = headers.apply("X-Retried");
-        return new Request(id, serviceClass, tenant, session == null ? key(id) : key(session),
+        return new Request(
+                id,
+                serviceClass,
+                tenant,
+                session == null ? key(id) : key(session),
                 prefix.isEmpty() ? 0 : key(prefix),
-                attrs.containsKey("prompt_len") ? number(attrs.get("prompt_len"), "X-Attrs prompt_len")
+                attrs.containsKey("prompt_len")
+                        ? number(attrs.get("prompt_len"), "X-Attrs prompt_len")
                         : forward.body().length / 4.0,
                 number(attrs.getOrDefault("prefix_len", "0"), "X-Attrs prefix_len"),
-                number(attrs.getOrDefault("max_out", "0"), "X-Attrs max_out"), now + wait, retried != null,
-                "again".equals(retried), forward);
+                number(attrs.getOrDefault("max_out", "0"), "X-Attrs max_out"),
+                now + wait,
+                retried != null,
+                "again".equals(retried),
+                forward);
     }
 
     private static int index(List<String> names, String name, String header) {
@@ -55,8 +64,7 @@
         int index = name == null ? -1 : names.indexOf(name);
         if (index < 0 && name != null) {
             // A head is read byte by byte; a name beyond ASCII comes in UTF-8.
-            index = names.indexOf(new String(name.getBytes(StandardCharsets.ISO_8859_1),
-                    StandardCharsets.UTF_8));
+            index = names.indexOf(new String(name.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8));
         }
         if (index < 0) {
             throw new BadInput(header + (name == null ? " is missing" : " names nothing known: " + name));
@@ -78,7 +86,8 @@
             if (equals <= 0) {
                 throw new BadInput("X-Attrs is not a list of name=value: " + text);
             }
-            pairs.put(pair.substring(0, equals).trim(), pair.substring(equals + 1).trim());
+            pairs.put(
+                    pair.substring(0, equals).trim(), pair.substring(equals + 1).trim());
         }
         return pairs;
     }
--- a/src/main/java/dunlinladder/wire/sim/Host.java
+++ b/src/main/java/dunlinladder/wire/sim/Host.java
@@ -77,8 +77,17 @@
             throw new BadInput("a Turn before the Commit of the last");
         }
         long instance = switch (message.name) {
-            case "OpenInstance", "Detach", "Membership", "JobIn", "FirstByte", "SeatNews", "Returned",
-                "TimedOutClient", "Reminder", "CheckResult", "NoteFrom" -> body.integer("i");
+            case "OpenInstance",
+                    "Detach",
+                    "Membership",
+                    "JobIn",
+                    "FirstByte",
+                    "SeatNews",
+                    "Returned",
+                    "TimedOutClient",
+                    "Reminder",
+                    "CheckResult",
+                    "NoteFrom" -> body.integer("i");
             default -> throw new BadInput("unknown message " + message.name);
         };
         switch (message.name) {
@@ -96,7 +105,8 @@
 
     private void open(long instance, Json body) {
         long seed = body.integer("salt");
-        Router.Settings settings = SettingsReader.read(new Json("info", body.child("info").fields()));
+        Router.Settings settings =
+                SettingsReader.read(new Json("info", body.child("info").fields()));
         instances.put(instance, new Logic(settings, seed));
     }
 
@@ -114,5 +124,5 @@
         }
     }
 
-    private record Message(String name, Json body) { }
+    private record Message(String name, Json body) {}
 }
--- a/src/main/java/dunlinladder/wire/sim/Wire.java
+++ b/src/main/java/dunlinladder/wire/sim/Wire.java
@@ -1,9 +1,9 @@
 package dunlinladder.wire.sim;
 
+import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import dunlinladder.decision.Router;
 import dunlinladder.wire.BadInput;
 import dunlinladder.wire.Json;
-import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,16 +12,16 @@
 /** The wire's spelling: JSON to events, actions to JSON. Holds no decisions. */
 public final class Wire {
 
-    private Wire() {
-    }
+    private Wire() {}
 
     /** Translates an event; null for one that the module has no use for. */
     static Router.Event event(String name, Json body) {
         return switch (name) {
             case "Membership" -> members(body);
             case "JobIn" -> new Router.Arrival(request(body));
-            case "FirstByte" -> new Router.FirstToken(body.text("id"), (int) body.integer("go"),
-                    body.text("worker"), body.number("cost-time"));
+            case "FirstByte" ->
+                new Router.FirstToken(
+                        body.text("id"), (int) body.integer("go"), body.text("worker"), body.number("cost-time"));
             case "Returned" -> outcome(body);
             case "TimedOutClient" -> new Router.ClientGone(body.text("id"));
             case "Reminder" -> new Router.Timer(body.integer("cookie"));
@@ -45,19 +45,32 @@
                     case "leaving" -> Router.Lifecycle.LEAVING;
                     default -> Router.Lifecycle.LEFT;
                 };
-                members.add(new Router.Member(entry.text("worker"), (int) entry.integer("locality", 0),
-                        (int) entry.integer("kind", 0), (int) entry.integer("cohort", 0), lifecycle,
-                        entry.number("heft", 1), entry.number("last-start", 0)));
+                members.add(new Router.Member(
+                        entry.text("worker"),
+                        (int) entry.integer("locality", 0),
+                        (int) entry.integer("kind", 0),
+                        (int) entry.integer("cohort", 0),
+                        lifecycle,
+                        entry.number("heft", 1),
+                        entry.number("last-start", 0)));
             }
         }
         return new Router.Members(scope, members);
     }
 
     private static Router.Request request(Json body) {
-        return new Router.Request(body.text("id"), (int) body.integer("tier-class", 0),
-                (int) body.integer("customer", 0), body.integer("talk", 0), body.number("expires"),
-                body.number("predicted", 0), body.integer("system-prompt", 0), body.number("input-len", 0),
-                body.number("prefix-tokens", 0), body.number("max-tokens", 0), body.flag("retry"),
+        return new Router.Request(
+                body.text("id"),
+                (int) body.integer("tier-class", 0),
+                (int) body.integer("customer", 0),
+                body.integer("talk", 0),
+                body.number("expires"),
+                body.number("predicted", 0),
+                body.integer("system-prompt", 0),
+                body.number("input-len", 0),
+                body.number("prefix-tokens", 0),
+                body.number("max-tokens", 0),
+                body.flag("retry"),
                 body.flag("returned"));
     }
 
@@ -69,9 +82,15 @@
                 report.put(name, stats.number(name, 0));
             }
         }
-        return new Router.Outcome(body.text("id"), (int) body.integer("go"), body.text("worker"),
-                status((int) body.integer("outcome")), body.number("cost-time", 0), body.flag("last"),
-                body.number("note", 0), report);
+        return new Router.Outcome(
+                body.text("id"),
+                (int) body.integer("go"),
+                body.text("worker"),
+                status((int) body.integer("outcome")),
+                body.number("cost-time", 0),
+                body.flag("last"),
+                body.number("note", 0),
+                report);
     }
 
     private static Router.Status status(int code) {
@@ -108,7 +127,10 @@
             text(line, "id", a.id());
         } else if (action instanceof Router.SetTimer a) {
             open(line, "Arm", instance);
-            line.append(",\"cookie\":").append(a.token()).append(",\"sleep-for\":").append(a.delay());
+            line.append(",\"cookie\":")
+                    .append(a.token())
+                    .append(",\"sleep-for\":")
+                    .append(a.delay());
         } else if (action instanceof Router.Follow) {
             open(line, "Follow", instance);
             line.append(",\"want\":true");
--- a/src/test/java/dunlinladder/core/DispatcherTest.java
+++ b/src/test/java/dunlinladder/core/DispatcherTest.java
@@ -42,9 +42,10 @@
     private final List<String> answers = new ArrayList<>();
     private final List<Outcome.Ending> reported = new ArrayList<>();
     /** Runs while an attempt is out. */
-    private Runnable meanwhile = () -> { };
+    private Runnable meanwhile = () -> {};
     /** Runs while the decisions are asked. */
-    private Runnable decided = () -> { };
+    private Runnable decided = () -> {};
+
     private Dispatcher dispatcher;
 
     private final Decider decider = new Decider() {
@@ -127,31 +128,39 @@
     };
 
     private static Engine engine(String id, Engine.State state) {
-        return new Engine(id, "127.0.0.1:1", 0, id.charAt(0) == 'r' ? 0 : id.charAt(0) == 'w' ? 1 : 2, 0,
-                state,
-                1, 0);
+        return new Engine(id, "127.0.0.1:1", 0, id.charAt(0) == 'r' ? 0 : id.charAt(0) == 'w' ? 1 : 2, 0, state, 1, 0);
     }
 
     private void list(Engine.State state, String... ids) {
-        engines.apply(Decider.Scope.CHANGES, Arrays.stream(ids).map(id -> engine(id, state)).toList());
+        engines.apply(
+                Decider.Scope.CHANGES,
+                Arrays.stream(ids).map(id -> engine(id, state)).toList());
     }
 
     private void take(int serviceClass) {
-        Limits limits = new Limits(0, 0, 0, 0, 0, 0, 0, 10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0.04, 0, 0,
-                0, 0, 0);
+        Limits limits = new Limits(0, 0, 0, 0, 0, 0, 0, 10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0.04, 0, 0, 0, 0, 0);
         dispatcher = new Dispatcher(decider, engines, calls, Runnable::run, clock, limits, POLICY);
         assertTrue(dispatcher.take(
-                new Request("id", serviceClass, 0, 1, 0, 10, 0, 10, clock.now() + 5, false, false, null),
-                client));
+                new Request("id", serviceClass, 0, 1, 0, 10, 0, 10, clock.now() + 5, false, false, null), client));
     }
 
     /** The decisions ask to refuse after these attempts; what the client is told goes by what they prove. */
     @ParameterizedTest
-    @CsvSource({"1, r1 TIMEOUT, refuse", "1, r1 RESET, refuse", "1, r1 READ w1 TIMEOUT, fail",
-        "1, r1 READ w1 RESET, fail", "1, r1 READ w1 ERROR, fail", "1, r1 READ w1 CANCELLED, fail",
-        "1, r1 READ w1 FULL, refuse", "1, r1 READ w1 CONNECT_FAILED, refuse", "1, m1 TIMEOUT, fail",
-        "1, m1 RESET r1 READ, fail", "1, m1 FULL r1 TIMEOUT, refuse", "0, m1 TIMEOUT, refuse",
-        "0, r1 READ w1 RESET, refuse"})
+    @CsvSource({
+        "1, r1 TIMEOUT, refuse",
+        "1, r1 RESET, refuse",
+        "1, r1 READ w1 TIMEOUT, fail",
+        "1, r1 READ w1 RESET, fail",
+        "1, r1 READ w1 ERROR, fail",
+        "1, r1 READ w1 CANCELLED, fail",
+        "1, r1 READ w1 FULL, refuse",
+        "1, r1 READ w1 CONNECT_FAILED, refuse",
+        "1, m1 TIMEOUT, fail",
+        "1, m1 RESET r1 READ, fail",
+        "1, m1 FULL r1 TIMEOUT, refuse",
+        "0, m1 TIMEOUT, refuse",
+        "0, r1 READ w1 RESET, refuse"
+    })
     void aRefusalIsBorneOutByTheFacts(int serviceClass, String attempts, String answer) {
         list(Engine.State.ACTIVE, "r1", "w1", "m1");
         String[] words = attempts.split(" ");
@@ -166,16 +175,20 @@
 
     /** The engine leaves the list, or is listed as a reader, while a listing is out at it. */
     @ParameterizedTest
-    @CsvSource({"TIMEOUT, LEFT, fail", "RESET, LEFT, fail", "FULL, LEFT, refuse",
-            "CONNECT_FAILED, LEFT, refuse",
-        "TIMEOUT, LEAVING, fail", "TIMEOUT, ACTIVE, fail"})
+    @CsvSource({
+        "TIMEOUT, LEFT, fail",
+        "RESET, LEFT, fail",
+        "FULL, LEFT, refuse",
+        "CONNECT_FAILED, LEFT, refuse",
+        "TIMEOUT, LEAVING, fail",
+        "TIMEOUT, ACTIVE, fail"
+    })
     void whatTheListSaysLaterChangesNothing(Ending ending, Engine.State state, String answer) {
         list(Engine.State.ACTIVE, "m1");
         steps.addAll(List.of(new Step.Send("m1", 0), new Step.Refuse(0)));
         endings.add(ending);
-        meanwhile = () -> engines.apply(Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:1", 0, 0,
-                0,
-                state, 1, 0)));
+        meanwhile = () ->
+                engines.apply(Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:1", 0, 0, 0, state, 1, 0)));
         take(LISTING);
         assertEquals(List.of(answer), answers);
     }
@@ -252,8 +265,8 @@
         list(Engine.State.ACTIVE, "m1");
         assertTrue(hurried.open(decided));
         // An engine that is listed elsewhere now is another process.
-        engines.apply(Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:2", 0, 2, 0,
-                Engine.State.ACTIVE, 1, 0)));
+        engines.apply(
+                Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:2", 0, 2, 0, Engine.State.ACTIVE, 1, 0)));
         assertFalse(hurried.open(decided));
     }
 }
--- a/src/test/java/dunlinladder/core/EnginesTest.java
+++ b/src/test/java/dunlinladder/core/EnginesTest.java
@@ -24,9 +24,14 @@
         Engine before = engines.find("x");
         Engine back = engine("x", "10.0.0.2:80", Engine.State.ACTIVE);
         Engine brief = engine("y", "10.0.0.3:80", Engine.State.ACTIVE);
-        engines.apply(Decider.Scope.CHANGES, List.of(engine("x", "10.0.0.1:80", Engine.State.LEFT), back,
-                brief, engine("y", "10.0.0.3:80", Engine.State.LEAVING),
-                engine("y", "10.0.0.3:80", Engine.State.LEFT)));
+        engines.apply(
+                Decider.Scope.CHANGES,
+                List.of(
+                        engine("x", "10.0.0.1:80", Engine.State.LEFT),
+                        back,
+                        brief,
+                        engine("y", "10.0.0.3:80", Engine.State.LEAVING),
+                        engine("y", "10.0.0.3:80", Engine.State.LEFT)));
         assertFalse(engines.accepts(before), "decided for the address before the restart");
         assertTrue(engines.accepts(back));
         assertNull(engines.find("y"));
--- a/src/test/java/dunlinladder/core/ReleaseOrderTest.java
+++ b/src/test/java/dunlinladder/core/ReleaseOrderTest.java
@@ -16,17 +16,21 @@
         return new Engine(id, id, zone, 0, 0, state, 1, 0);
     }
 
-    private static final List<Engine> LISTED = List.of(engine("a1", 0, Engine.State.ACTIVE),
-            engine("a2", 0, Engine.State.ACTIVE), engine("a3", 0, Engine.State.LEAVING),
-            engine("b1", 1, Engine.State.ACTIVE), engine("b2", 1, Engine.State.LEAVING),
+    private static final List<Engine> LISTED = List.of(
+            engine("a1", 0, Engine.State.ACTIVE),
+            engine("a2", 0, Engine.State.ACTIVE),
+            engine("a3", 0, Engine.State.LEAVING),
+            engine("b1", 1, Engine.State.ACTIVE),
+            engine("b2", 1, Engine.State.LEAVING),
             engine("c1", 2, Engine.State.ACTIVE));
 
     @ParameterizedTest
     @CsvSource({
-        "a1=9 a2=8 b1=7,      a1 b1 c1 a2 a3 b2",   // a cut of zone 0 is left with the second
+        "a1=9 a2=8 b1=7,      a1 b1 c1 a2 a3 b2", // a cut of zone 0 is left with the second
         "a2=9 c1=7,           a2 c1 b1 a1 a3 b2",
-        "a2=3 b2=9,           a2 b1 c1 a1 b2 a3",   // draining ones last, however lately they answered
-        "c1=1,                c1 a1 b1 a2 a3 b2"})
+        "a2=3 b2=9,           a2 b1 c1 a1 b2 a3", // draining ones last, however lately they answered
+        "c1=1,                c1 a1 b1 a2 a3 b2"
+    })
     void zonesTakeTurns(String answered, String order) {
         Map<String, Long> at = new HashMap<>();
         for (String each : answered.trim().split(" ")) {
--- a/src/test/java/dunlinladder/decision/DecisionsTest.java
+++ b/src/test/java/dunlinladder/decision/DecisionsTest.java
@@ -25,8 +25,8 @@
     private final Clock clock = new Clock();
     private final List<String> released = new ArrayList<>();
     /** With an aim of 100 s, half of which a request waits: a stalled machine does not decide a test. */
-    private final Decisions decisions = new Decisions(FleetRulesTest.settings(2, 100, 0.25, 2.5, 2, 12, 0.3,
-            0.5), 1, clock, released::add, () -> lag, 0.1);
+    private final Decisions decisions = new Decisions(
+            FleetRulesTest.settings(2, 100, 0.25, 2.5, 2, 12, 0.3, 0.5), 1, clock, released::add, () -> lag, 0.1);
 
     @BeforeEach
     void aReaderAndAWriter() {
--- a/src/test/java/dunlinladder/decision/Fleet.java
+++ b/src/test/java/dunlinladder/decision/Fleet.java
@@ -28,10 +28,19 @@
     private double now = 100;
 
     static Router.Settings settings(Effect effect, Group group) {
-        return new Router.Settings(2, 0,
+        return new Router.Settings(
+                2,
+                0,
                 List.of(new Router.ServiceClass(1, 0.05, 0, 0.05, effect, group, 5, 1, 0.1)),
-                List.of(100.0), List.of(Role.READ, Role.WRITE, Role.BOTH), List.of(2e5, 2e5, 2e5), 6, false,
-                false, 1, false, new Router.Rules(0.02, 0.25, 2.5, 2, 12, 0.3, 0.5));
+                List.of(100.0),
+                List.of(Role.READ, Role.WRITE, Role.BOTH),
+                List.of(2e5, 2e5, 2e5),
+                6,
+                false,
+                false,
+                1,
+                false,
+                new Router.Rules(0.02, 0.25, 2.5, 2, 12, 0.3, 0.5));
     }
 
     Fleet type(Effect effect, Group group) {
@@ -51,9 +60,19 @@
 
     private Fleet among(int balancers, boolean retryAfter) {
         Router.Settings s = settings;
-        settings = new Router.Settings(balancers, s.zone(), s.classes(), s.quotas(), s.roleByKind(),
-                s.kvTokens(), s.maxAttempts(), s.readInPlace(), retryAfter, s.maxRetryAfter(),
-                s.listOnRequest(), s.rules());
+        settings = new Router.Settings(
+                balancers,
+                s.zone(),
+                s.classes(),
+                s.quotas(),
+                s.roleByKind(),
+                s.kvTokens(),
+                s.maxAttempts(),
+                s.readInPlace(),
+                retryAfter,
+                s.maxRetryAfter(),
+                s.listOnRequest(),
+                s.rules());
         return this;
     }
 
@@ -64,14 +83,14 @@
 
     /** A request whose first 800 tokens are shared with others. */
     void shared(String id, long prefix) {
-        handle(new Router.Arrival(new Router.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800,
-                100, false, false)));
+        handle(new Router.Arrival(
+                new Router.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800, 100, false, false)));
     }
 
     /** A request of 200 tokens behind a beginning of so many. */
     void opening(String id, long prefix, double tokens) {
-        handle(new Router.Arrival(new Router.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix,
-                tokens + 200, tokens, 100, false, false)));
+        handle(new Router.Arrival(new Router.Request(
+                id, 0, 0, id.hashCode(), now + 5, 0, prefix, tokens + 200, tokens, 100, false, false)));
         sentAt.putIfAbsent(id, now);
     }
 
@@ -79,8 +98,8 @@
     void drainAttempts() {
         for (String id : List.copyOf(latest.keySet())) {
             for (int attempt = 0; attempt < attempts.get(id); attempt++) {
-                handle(new Router.Outcome(id, attempt, latest.get(id).worker(), Status.TIMEOUT, 4.9, true, 0,
-                        Map.of()));
+                handle(new Router.Outcome(
+                        id, attempt, latest.get(id).worker(), Status.TIMEOUT, 4.9, true, 0, Map.of()));
             }
         }
     }
@@ -103,8 +122,7 @@
 
     Fleet drain(String id) {
         Router.Member m = members.get(id);
-        return change(new Router.Member(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEAVING, 1,
-                m.startedAt()));
+        return change(new Router.Member(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEAVING, 1, m.startedAt()));
     }
 
     Fleet leave(String id) {
@@ -121,8 +139,7 @@
     String remembered() throws ReflectiveOperationException {
         StringBuilder sizes = new StringBuilder();
         Object keeps = field(router, "keeps");
-        for (Object map : List.of(field(router, "workers"), field(keeps, "sessions"),
-                field(keeps, "prefixes"))) {
+        for (Object map : List.of(field(router, "workers"), field(keeps, "sessions"), field(keeps, "prefixes"))) {
             sizes.append(' ').append(((Map<?, ?>) map).size());
         }
         return sizes.substring(1);
@@ -171,7 +188,8 @@
     void run(double seconds) {
         double until = now + seconds;
         while (true) {
-            double[] next = timers.stream().min((a, b) -> Double.compare(a[0], b[0])).orElse(null);
+            double[] next =
+                    timers.stream().min((a, b) -> Double.compare(a[0], b[0])).orElse(null);
             if (next == null || next[0] > until) {
                 break;
             }
@@ -183,8 +201,7 @@
     }
 
     void request(String id, long session) {
-        handle(new Router.Arrival(new Router.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false,
-                false)));
+        handle(new Router.Arrival(new Router.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false)));
         sentAt.putIfAbsent(id, now);
     }
 
@@ -207,8 +224,7 @@
     }
 
     void first(String id) {
-        handle(new Router.FirstToken(id, attempts.get(id) - 1, latest.get(id).worker(),
-                now - sentAt.get(id)));
+        handle(new Router.FirstToken(id, attempts.get(id) - 1, latest.get(id).worker(), now - sentAt.get(id)));
     }
 
     void outcome(String id, Status status) {
@@ -216,14 +232,21 @@
     }
 
     void outcome(String id, Status status, double note, boolean closed) {
-        handle(new Router.Outcome(id, attempts.get(id) - 1, latest.get(id).worker(), status,
-                now - sentAt.get(id), closed, note, Map.of()));
+        handle(new Router.Outcome(
+                id,
+                attempts.get(id) - 1,
+                latest.get(id).worker(),
+                status,
+                now - sentAt.get(id),
+                closed,
+                note,
+                Map.of()));
     }
 
     /** Ends an attempt for good with a load report. */
     void reported(String id, Status status, Map<String, Double> report) {
-        handle(new Router.Outcome(id, attempts.get(id) - 1, latest.get(id).worker(), status,
-                now - sentAt.get(id), true, 0, report));
+        handle(new Router.Outcome(
+                id, attempts.get(id) - 1, latest.get(id).worker(), status, now - sentAt.get(id), true, 0, report));
     }
 
     /** Plays a request to its good end. */
@@ -243,21 +266,30 @@
 
     /** The number of sends once those to readers after the first {@code from} are left out. */
     int sendsToWriters(int from) {
-        return from + (int) sent.stream().skip(from)
-                .filter(send -> members.get(send.worker()).kind() != Role.READ.ordinal()).count();
+        return from
+                + (int) sent.stream()
+                        .skip(from)
+                        .filter(send -> members.get(send.worker()).kind() != Role.READ.ordinal())
+                        .count();
     }
 
     long finals(String id) {
         return fails(id)
-                + all.stream().filter(a -> a instanceof Router.Refuse r && r.id().equals(id)).count();
+                + all.stream()
+                        .filter(a -> a instanceof Router.Refuse r && r.id().equals(id))
+                        .count();
     }
 
     long fails(String id) {
-        return all.stream().filter(a -> a instanceof Router.Fail f && f.id().equals(id)).count();
+        return all.stream()
+                .filter(a -> a instanceof Router.Fail f && f.id().equals(id))
+                .count();
     }
 
     long releases(String id) {
-        return all.stream().filter(a -> a instanceof Router.Release r && r.id().equals(id)).count();
+        return all.stream()
+                .filter(a -> a instanceof Router.Release r && r.id().equals(id))
+                .count();
     }
 
     /** Seconds after the clock's start at which the final answer came. */
--- a/src/test/java/dunlinladder/decision/IntakeTest.java
+++ b/src/test/java/dunlinladder/decision/IntakeTest.java
@@ -12,21 +12,24 @@
 
     /** Twenty wait; at each look so many are let in. */
     @ParameterizedTest
-    @CsvSource({"0 0 0 0 0 0, 1 2 4 8 5 0", "0.2 0.2 0.2, 0 0 0", "0 0 0.2 0 0, 1 2 0 1 2",
-        "0.1 0.11 0.1, 1 0 1"})
+    @CsvSource({"0 0 0 0 0 0, 1 2 4 8 5 0", "0.2 0.2 0.2, 0 0 0", "0 0 0.2 0 0, 1 2 0 1 2", "0.1 0.11 0.1, 1 0 1"})
     void letsInTwiceAsManyWhileItCatchesUp(String lags, String let) {
         Intake<Integer> intake = new Intake<>(0.1);
         for (int i = 0; i < 20; i++) {
             intake.add(i);
         }
         int[] next = {0};
-        assertEquals(let, Arrays.stream(lags.split(" ")).map(lag -> {
-            int now = intake.look(Double.parseDouble(lag));
-            for (int i = 0; i < now; i++) {
-                assertEquals(next[0]++, intake.next());
-            }
-            return String.valueOf(now);
-        }).collect(Collectors.joining(" ")));
+        assertEquals(
+                let,
+                Arrays.stream(lags.split(" "))
+                        .map(lag -> {
+                            int now = intake.look(Double.parseDouble(lag));
+                            for (int i = 0; i < now; i++) {
+                                assertEquals(next[0]++, intake.next());
+                            }
+                            return String.valueOf(now);
+                        })
+                        .collect(Collectors.joining(" ")));
     }
 
     /** Nothing overtakes those that wait, and with none waiting the lag alone decides. */
--- a/src/test/java/dunlinladder/decision/LogicTest.java
+++ b/src/test/java/dunlinladder/decision/LogicTest.java
@@ -20,8 +20,12 @@
     private static final String FAR_READER = "r1";
 
     private static Fleet pair() {
-        return new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE)
-                .with("r1", 1, Role.READ).with("w1", 1, Role.WRITE).listed();
+        return new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("r1", 1, Role.READ)
+                .with("w1", 1, Role.WRITE)
+                .listed();
     }
 
     @Test
@@ -90,7 +94,10 @@
     /** A writer whose memory is full sends answers back to its queue: one with a stream more is better. */
     @Test
     void fullWriterIsPassedOver() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE).with("w1", 0, Role.WRITE)
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("w1", 0, Role.WRITE)
                 .listed();
         fleet.arrive("a");
         fleet.outcome("a", Status.READ);
@@ -109,7 +116,10 @@
     /** While the readers are behind, a mixed server that is not takes requests, its share or not. */
     @Test
     void mixedServerHelpsJammedReaders() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE).with("m0", 0, Role.BOTH)
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("m0", 0, Role.BOTH)
                 .listed();
         assertEquals("r0", fleet.arrive("a").worker());
         fleet.run(0.4);
@@ -120,8 +130,11 @@
     @Test
     void mixedServerWhoseStreamsLagGetsNoMore() {
         for (double lasting : new double[] {0.2, 2}) {
-            Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE)
-                    .with("m0", 0, Role.BOTH).listed();
+            Fleet fleet = new Fleet()
+                    .with("r0", 0, Role.READ)
+                    .with("w0", 0, Role.WRITE)
+                    .with("m0", 0, Role.BOTH)
+                    .listed();
             int[] whole = new int[2];
             for (int i = 0; i < 60; i++) {
                 String id = "a" + i;
@@ -132,7 +145,7 @@
                 fleet.first(id);
                 whole[i / 30] += mixed ? 1 : 0;
                 fleet.run(0.02);
-                if (i >= 9 && i % 10 == 9) {   // ten streams end together, those of the mixed server last
+                if (i >= 9 && i % 10 == 9) { // ten streams end together, those of the mixed server last
                     for (int j = i - 9; j <= i; j++) {
                         if (!fleet.worker("a" + j).equals("m0")) {
                             fleet.outcome("a" + j, Status.OK);
@@ -154,8 +167,12 @@
     /** Of three readers two cannot be reached: that says nothing of the third, which gets all but trials. */
     @Test
     void unreachableServersStayBarredHoweverMany() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("r1", 0, Role.READ).with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("r1", 0, Role.READ)
+                .with("r2", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .listed();
         int failed = 0;
         for (int i = 0; i < 40; i++) {
             fleet.arrive("a" + i);
@@ -202,7 +219,8 @@
         for (int round = 1; round < 20; round++) {
             fleet.shared("a" + round, round);
             for (int i = 0; i < 36; i++) {
-                fleet.leave("e" + (round - 1) + "-" + i).without("e" + (round - 1) + "-" + i)
+                fleet.leave("e" + (round - 1) + "-" + i)
+                        .without("e" + (round - 1) + "-" + i)
                         .with("e" + round + "-" + i, i % 12, Role.values()[i % 3]);
             }
             fleet.listed();
@@ -212,8 +230,11 @@
 
     @Test
     void mixedServerTakesItsShareWhole() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE)
-                .with("m0", 0, Role.BOTH).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("m0", 0, Role.BOTH)
+                .listed();
         int whole = 0;
         for (int i = 0; i < 20; i++) {
             boolean mixed = fleet.arrive("a" + i).worker().equals("m0");
@@ -227,8 +248,8 @@
 
     @Test
     void writerFailureBeforeTheFetchTriesAnotherWriterWithTheSameState() {
-        for (Status status : List.of(Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT,
-                Status.RESET, Status.CANCELLED)) {
+        for (Status status : List.of(
+                Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair();
             fleet.arrive("a");
             fleet.outcome("a", Status.READ);
@@ -250,12 +271,14 @@
 
     @Test
     void readerFailureTriesTheOtherReader() {
-        for (Status status : List.of(Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT,
-                Status.RESET, Status.CANCELLED)) {
+        for (Status status : List.of(
+                Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair();
             String reader = fleet.arrive("a").worker();
             fleet.outcome("a", status);
-            assertEquals(reader.equals(NEAR_READER) ? FAR_READER : NEAR_READER, fleet.lastSend().worker());
+            assertEquals(
+                    reader.equals(NEAR_READER) ? FAR_READER : NEAR_READER,
+                    fleet.lastSend().worker());
         }
     }
 
@@ -302,7 +325,8 @@
         for (double wait : new double[] {Double.NaN, 0, 0.1, 0.4, 5, Double.POSITIVE_INFINITY}) {
             double known = wait > 0.1 ? wait : 0.1;
             for (double chance : new double[] {0, 0.5, 0.99}) {
-                assertEquals(Math.min(1, known * (0.5 + chance)),
+                assertEquals(
+                        Math.min(1, known * (0.5 + chance)),
                         Job.advice(wait, Fleet.settings(Effect.SAFE, Group.ALL), chance));
             }
         }
@@ -315,8 +339,11 @@
         fleet.arrive("a");
         fleet.arrive("b");
         fleet.run(6);
-        List<Double> advice = fleet.all.stream().filter(Router.Refuse.class::isInstance)
-                .map(each -> ((Router.Refuse) each).retryAfter()).distinct().toList();
+        List<Double> advice = fleet.all.stream()
+                .filter(Router.Refuse.class::isInstance)
+                .map(each -> ((Router.Refuse) each).retryAfter())
+                .distinct()
+                .toList();
         assertEquals(2, advice.size());
         assertTrue(advice.stream().allMatch(each -> each >= 0.05 && each <= 0.15), advice::toString);
     }
@@ -324,8 +351,12 @@
     /** On sockets the time runs on while connections fail to come up: two that time out use most of it. */
     @Test
     void aStateWhoseWritersCannotBeReachedIsLetGo() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE)
-                .with("w1", 0, Role.WRITE).with("w2", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("w1", 0, Role.WRITE)
+                .with("w2", 0, Role.WRITE)
+                .listed();
         fleet.arrive("a");
         fleet.outcome("a", Status.READ);
         fleet.run(0.25);
@@ -353,11 +384,17 @@
         int routers = 100;
         int sent = 0;
         for (int i = 0; i < routers; i++) {
-            Fleet fleet = new Fleet().routers(routers).with("r0", 0, Role.READ).with("r1", 0, Role.READ)
-                    .with("w0", 0, Role.WRITE).seed(i);
+            Fleet fleet = new Fleet()
+                    .routers(routers)
+                    .with("r0", 0, Role.READ)
+                    .with("r1", 0, Role.READ)
+                    .with("w0", 0, Role.WRITE)
+                    .seed(i);
             fleet.restart("r1").arrive("a" + i);
             fleet.arrive("b" + i);
-            sent += (int) fleet.sent.stream().filter(send -> send.worker().equals("r1")).count();
+            sent += (int) fleet.sent.stream()
+                    .filter(send -> send.worker().equals("r1"))
+                    .count();
         }
         assertTrue(sent <= routers / 4, "sends to the cold reader: " + sent);
     }
@@ -422,21 +459,29 @@
 
     @Test
     void coldServerGetsOnlyItsBudget() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("r1", 0, Role.READ)
-                .with("w0", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("r1", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .listed();
         fleet.run(1);
         fleet.restart("r1");
         for (int i = 0; i < 200; i++) {
             fleet.request("a" + i, i);
         }
-        long cold = fleet.sent.stream().filter(send -> send.worker().equals("r1")).count();
+        long cold =
+                fleet.sent.stream().filter(send -> send.worker().equals("r1")).count();
         assertTrue(cold < 4, "sends to the cold reader: " + cold);
     }
 
     @Test
     void silentReaderIsLeftForTheOthers() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("r1", 0, Role.READ).with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("r1", 0, Role.READ)
+                .with("r2", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .listed();
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
             if (!fleet.lastSend().worker().equals("r0")) {
@@ -530,8 +575,11 @@
     /** A cell with many readers and few writers must not leave another cell's writers idle. */
     @Test
     void clearlyLessLoadedWriterElsewhereIsTaken() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("w0", 0, Role.WRITE)
-                .with("w1", 1, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .with("w1", 1, Role.WRITE)
+                .listed();
         boolean elsewhere = false;
         for (int i = 0; i < 12; i++) {
             fleet.arrive("a" + i);
@@ -575,8 +623,8 @@
     }
 
     /**
-     * The engines' calm day: after all readers had lost what they kept, each beginning was read anew. By
-     * many routers that was taken for a slow role, and short requests were refused as well.
+     * The engines' calm day: after all readers had lost what they kept, each beginning was read anew. By many routers
+     * that was taken for a slow role, and short requests were refused as well.
      */
     @Test
     void whatIsReadAnewIsNoSlownessWhereRoutersAreMany() {
@@ -679,8 +727,11 @@
     /** After a router's restart a cached list may be stale; a cold server is still started gently. */
     @Test
     void restartedRouterKeepsToTheColdBudget() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("r1", 0, Role.READ)
-                .with("w0", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("r1", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .listed();
         fleet.restart("r0").restart("r1").restartRouter();
         int before = fleet.sends();
         for (int i = 0; i < 30; i++) {
@@ -692,8 +743,12 @@
     /** A server that errs at once clears its count first; it must not draw the traffic. */
     @Test
     void failingServerDrawsNoMoreThanItsPeers() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).with("r1", 0, Role.READ).with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE).listed();
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.READ)
+                .with("r1", 0, Role.READ)
+                .with("r2", 0, Role.READ)
+                .with("w0", 0, Role.WRITE)
+                .listed();
         int erring = 0;
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
@@ -708,8 +763,8 @@
     }
 
     /**
-     * Six in ten readers are replaced and the others jam: fourteen routers, each of which has yet to hear of
-     * the cold ones, must not refuse for the jam while these stand idle.
+     * Six in ten readers are replaced and the others jam: fourteen routers, each of which has yet to hear of the cold
+     * ones, must not refuse for the jam while these stand idle.
      */
     @Test
     void coldReadersNotYetHeardOfTakeWhatWaitsAtTheWarmOnes() {
@@ -755,8 +810,14 @@
     }
 
     private static int sentToAFailingEngine(Effect effect) {
-        Fleet fleet = new Fleet().type(effect, Group.ALL).routers(14).with("r0", 0, Role.READ)
-                .with("m0", 0, Role.BOTH).with("m1", 0, Role.BOTH).with("m2", 0, Role.BOTH).seed(1);
+        Fleet fleet = new Fleet()
+                .type(effect, Group.ALL)
+                .routers(14)
+                .with("r0", 0, Role.READ)
+                .with("m0", 0, Role.BOTH)
+                .with("m1", 0, Role.BOTH)
+                .with("m2", 0, Role.BOTH)
+                .seed(1);
         int failing = 0;
         for (int i = 0; i < 400; i++) {
             fleet.arrive("a" + i);
--- a/src/test/java/dunlinladder/decision/VirtualFleet.java
+++ b/src/test/java/dunlinladder/decision/VirtualFleet.java
@@ -14,9 +14,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Several gateways that share nothing, their engines and their clients in virtual time: reads one at a time,
- * streams side by side, drains, crashes, cold starts, faults, late news. What the modules ask for is held
- * against the rules as it comes; whatever breaks one is noted with its time.
+ * Several gateways that share nothing, their engines and their clients in virtual time: reads one at a time, streams
+ * side by side, drains, crashes, cold starts, faults, late news. What the modules ask for is held against the rules as
+ * it comes; whatever breaks one is noted with its time.
  */
 final class VirtualFleet {
 
@@ -26,19 +26,27 @@
     /**
      * What is played.
      *
-     * @param engines   of each role, in the order of {@link Role}
-     * @param rate      requests a second
-     * @param read      seconds to read a thousand tokens
-     * @param stream    seconds that a stream takes
-     * @param slots     streams that an engine runs at once
-     * @param faults    share of attempts that end with an error, a reset or no connection
+     * @param engines of each role, in the order of {@link Role}
+     * @param rate requests a second
+     * @param read seconds to read a thousand tokens
+     * @param stream seconds that a stream takes
+     * @param slots streams that an engine runs at once
+     * @param faults share of attempts that end with an error, a reset or no connection
      * @param newsDelay seconds by which news may come late, at most
-     * @param changes   seconds between two drains or crashes
+     * @param changes seconds between two drains or crashes
      */
-    record Figures(Router.Settings settings, int[] engines, double rate, double read, double stream,
-            int slots, double faults, double newsDelay, double changes) { }
-
-    private record Due(double at, long number, Runnable task) { }
+    record Figures(
+            Router.Settings settings,
+            int[] engines,
+            double rate,
+            double read,
+            double stream,
+            int slots,
+            double faults,
+            double newsDelay,
+            double changes) {}
+
+    private record Due(double at, long number, Runnable task) {}
 
     private static final class Engine {
         final String id;
@@ -72,6 +80,7 @@
         boolean mayHaveRun;
         /** With its gateway, which was restarted. */
         boolean lost;
+
         Engine holder;
         double heldSince;
     }
@@ -87,9 +96,10 @@
     private final Map<String, Track> tracks = new HashMap<>();
     /** When each gateway was told that an engine drains or is gone. */
     private final List<Map<String, Double>> told = new ArrayList<>();
+
     private final double[] toldAt;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at)
-            .thenComparingLong(Due::number));
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private long number;
     private double now = 1000;
     /** Above 1 the first gateways see more than their part of the traffic. */
@@ -112,8 +122,13 @@
         for (int i = 0; i < settings.balancers(); i++) {
             gateways.add(new Logic(settings, seed + i));
             told.add(new HashMap<>());
-            handle(i, new Router.Members(Router.Scope.COMPLETE, engines.stream()
-                    .map(e -> member(e, Lifecycle.ACTIVE)).toList()));
+            handle(
+                    i,
+                    new Router.Members(
+                            Router.Scope.COMPLETE,
+                            engines.stream()
+                                    .map(e -> member(e, Lifecycle.ACTIVE))
+                                    .toList()));
         }
     }
 
@@ -141,13 +156,12 @@
         return broken.subList(0, Math.min(5, broken.size()));
     }
 
-    /**
-     * The share of a class's requests that is served, and that of the tenth of them with the longest
-     * prompts.
-     */
+    /** The share of a class's requests that is served, and that of the tenth of them with the longest prompts. */
     double[] sharesOf(int type) {
-        List<Track> all = tracks.values().stream().filter(track -> track.type == type)
-                .sorted(Comparator.comparingDouble(track -> -track.tokens)).toList();
+        List<Track> all = tracks.values().stream()
+                .filter(track -> track.type == type)
+                .sorted(Comparator.comparingDouble(track -> -track.tokens))
+                .toList();
         return new double[] {shareServed(all), shareServed(all.subList(0, all.size() / 10))};
     }
 
@@ -158,8 +172,7 @@
     /** The share of sessions none of whose requests was served, over what chance alone would give. */
     double shunned() {
         double missed = 1 - served / (double) requests;
-        Map<Long, List<Track>> sessions = tracks.values().stream().collect(Collectors.groupingBy(t ->
-                t.session));
+        Map<Long, List<Track>> sessions = tracks.values().stream().collect(Collectors.groupingBy(t -> t.session));
         double shunned = 0;
         for (List<Track> session : sessions.values()) {
             shunned += session.stream().noneMatch(track -> track.served) ? 1 : 0;
@@ -196,8 +209,21 @@
         track.expires = now + 6;
         tracks.put(id, track);
         in(6, () -> check(track.finals > 0 || track.begun, id, "has no answer by its deadline"));
-        handle(track.gateway, new Router.Arrival(new Router.Request(id, type, 0, track.session,
-                track.expires, 0, 1 + random.nextInt(5), track.tokens, 100, 100, false, false)));
+        handle(
+                track.gateway,
+                new Router.Arrival(new Router.Request(
+                        id,
+                        type,
+                        0,
+                        track.session,
+                        track.expires,
+                        0,
+                        1 + random.nextInt(5),
+                        track.tokens,
+                        100,
+                        100,
+                        false,
+                        false)));
         if (random.nextInt(100) == 0) {
             in(random.nextDouble() * 2, () -> leave(id, track));
         }
@@ -226,8 +252,7 @@
                 send(gateway, send);
             } else if (action instanceof Router.Refuse refuse) {
                 Track track = tracks.get(refuse.id());
-                check(!(track.effect == Effect.UNSAFE && track.mayHaveRun), refuse.id(),
-                        "is refused, may have run");
+                check(!(track.effect == Effect.UNSAFE && track.mayHaveRun), refuse.id(), "is refused, may have run");
                 answered(refuse.id());
             } else if (action instanceof Router.Fail fail) {
                 answered(fail.id());
@@ -241,24 +266,30 @@
 
     private void send(int gateway, Router.Send send) {
         Track track = tracks.get(send.id());
-        Engine engine = engines.stream().filter(e -> e.id.equals(send.worker())).findFirst().orElseThrow();
+        Engine engine = engines.stream()
+                .filter(e -> e.id.equals(send.worker()))
+                .findFirst()
+                .orElseThrow();
         Role role = settings.roleByKind().get(engine.kind);
         check(track.finals == 0 && !track.begun, send.id(), "is sent after its end");
         check(!track.out, send.id(), "is sent twice at once");
-        check(track.effect != Effect.UNSAFE || role == Role.READ || !track.mayHaveRun, send.id(),
-                "runs again");
+        check(track.effect != Effect.UNSAFE || role == Role.READ || !track.mayHaveRun, send.id(), "runs again");
         check(track.sends < settings.maxAttempts(), send.id(), "is sent too often");
-        check(now - told.get(gateway).getOrDefault(engine.id, now) <= settings.rules().stopSendingWithin(),
-                send.id(), "goes to " + engine.id + ", which drains or is gone");
+        check(
+                now - told.get(gateway).getOrDefault(engine.id, now)
+                        <= settings.rules().stopSendingWithin(),
+                send.id(),
+                "goes to " + engine.id + ", which drains or is gone");
         int attempt = track.sends++;
         track.out = true;
         double sentAt = now;
-        double limit = send.timeout() > 0 ? Math.min(now + send.timeout(), track.expires - ANSWER)
-                : track.expires - ANSWER;
+        double limit =
+                send.timeout() > 0 ? Math.min(now + send.timeout(), track.expires - ANSWER) : track.expires - ANSWER;
         if (!engine.up || random.nextDouble() < figures.faults / 3) {
             // A third of what is down says nothing, the rest refuses.
             boolean silent = random.nextInt(3) == 0;
-            in(silent ? Math.min(0.25, Math.max(0, limit - now)) : 0.001,
+            in(
+                    silent ? Math.min(0.25, Math.max(0, limit - now)) : 0.001,
                     () -> ended(send, track, attempt, sentAt, Status.CONNECT_FAILED, 0));
         } else if (role == Role.READ) {
             cold(engine);
@@ -271,8 +302,14 @@
 
     private double speed(Engine engine) {
         double from = settings.rules().coldFrom();
-        return engine.born == 0 ? 1
-                : Math.min(1, from + (1 - from) * (now - engine.born) / settings.rules().cold());
+        return engine.born == 0
+                ? 1
+                : Math.min(
+                        1,
+                        from
+                                + (1 - from)
+                                        * (now - engine.born)
+                                        / settings.rules().cold());
     }
 
     /** All gateways together must not push a cold engine over: counted in reads and streams of mean size. */
@@ -282,13 +319,19 @@
         }
         engine.sends.add(now);
         engine.sends.removeIf(at -> at < now - settings.rules().tipAfter());
-        double each = settings.roleByKind().get(engine.kind) == Role.READ ? figures.read * 1.4
+        double each = settings.roleByKind().get(engine.kind) == Role.READ
+                ? figures.read * 1.4
                 : figures.stream / figures.slots;
-        double most = settings.rules().fallMultiple() * speed(engine) / each * settings.rules().tipAfter();
+        double most = settings.rules().fallMultiple()
+                * speed(engine)
+                / each
+                * settings.rules().tipAfter();
         double bound = byChance ? most + 2 * Math.sqrt(most) + 2 : Math.max(2, most);
         fullest = Math.max(fullest, engine.sends.size() / bound);
-        check(engine.sends.size() <= bound, engine.id, "is pushed over: " + engine.sends.size()
-                + " sends, at most " + (int) bound);
+        check(
+                engine.sends.size() <= bound,
+                engine.id,
+                "is pushed over: " + engine.sends.size() + " sends, at most " + (int) bound);
     }
 
     private void read(Router.Send send, Track track, int attempt, Engine engine, double limit) {
@@ -323,8 +366,7 @@
         double begins = 0.02 + (state ? 0.02 : track.tokens / 1000 * figures.read) / speed(engine);
         double lasts = figures.stream / speed(engine);
         in(begins + lasts, () -> engine.running--);
-        Status fault = random.nextDouble() > figures.faults ? null : random.nextBoolean() ? Status.ERROR
-                : Status.RESET;
+        Status fault = random.nextDouble() > figures.faults ? null : random.nextBoolean() ? Status.ERROR : Status.RESET;
         if (fault != null || now + begins > limit) {
             in(Math.max(0, Math.min(begins, limit - now)), () -> {
                 track.mayHaveRun = true;
@@ -353,8 +395,7 @@
     }
 
     /** An attempt has ended; whatever its request holds then has its time. */
-    private void ended(Router.Send send, Track track, int attempt, double sentAt, Status status,
-            double note) {
+    private void ended(Router.Send send, Track track, int attempt, double sentAt, Status status, double note) {
         if (!track.out) {
             return;
         }
@@ -362,20 +403,22 @@
         track.heldSince = now;
         double since = now;
         if (track.holder != null) {
-            in(settings.rules().releaseWithin() + 0.001, () -> check(track.holder == null || track.out
-                    || track.heldSince != since || !track.holder.up, send.id(), "holds its state too long"));
+            in(
+                    settings.rules().releaseWithin() + 0.001,
+                    () -> check(
+                            track.holder == null || track.out || track.heldSince != since || !track.holder.up,
+                            send.id(),
+                            "holds its state too long"));
         }
         boolean closed = track.finals > 0 || track.begun;
-        handle(track.gateway, new Router.Outcome(send.id(), attempt, send.worker(), status, now - sentAt,
-                closed, note, Map.of()));
+        handle(
+                track.gateway,
+                new Router.Outcome(send.id(), attempt, send.worker(), status, now - sentAt, closed, note, Map.of()));
     }
 
     // ---- Changes of the fleet ----
 
-    /**
-     * Has the first gateways see several times the mean; held to the budget with what is put down to
-     * chance.
-     */
+    /** Has the first gateways see several times the mean; held to the budget with what is put down to chance. */
     VirtualFleet uneven(double to) {
         skew = to;
         byChance = true;
@@ -385,8 +428,13 @@
     /** So many engines of each role go at once, and come back cold together some seconds later. */
     VirtualFleet returning(double at, int ofEach) {
         for (Role role : Role.values()) {
-            in(at, () -> engines.stream().filter(e -> e.up && settings.roleByKind().get(e.kind) == role)
-                    .limit(ofEach).toList().forEach(this::down));
+            in(
+                    at,
+                    () -> engines.stream()
+                            .filter(e -> e.up && settings.roleByKind().get(e.kind) == role)
+                            .limit(ofEach)
+                            .toList()
+                            .forEach(this::down));
         }
         return this;
     }
@@ -410,8 +458,14 @@
         });
         told.get(gateway).clear();
         gateways.set(gateway, new Logic(settings, random.nextLong()));
-        handle(gateway, new Router.Members(Router.Scope.COMPLETE, engines.stream().filter(e -> e.up)
-                .map(e -> member(e, Lifecycle.ACTIVE)).toList()));
+        handle(
+                gateway,
+                new Router.Members(
+                        Router.Scope.COMPLETE,
+                        engines.stream()
+                                .filter(e -> e.up)
+                                .map(e -> member(e, Lifecycle.ACTIVE))
+                                .toList()));
     }
 
     private void change() {
--- a/src/test/java/dunlinladder/dialect/EventReaderTest.java
+++ b/src/test/java/dunlinladder/dialect/EventReaderTest.java
@@ -13,11 +13,15 @@
 class EventReaderTest {
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "none", value = {
-        "data: a\\n\\n|a", "data:a\\n\\ndata: b\\n\\n|a;b", "data: a\\r\\n\\r\\n|a", "data: a\\r\\r|a",
-        "data: a\\ndata: b\\n\\n|a\\nb", "data\\n\\n|''", "data:  a\\n\\n|' a'", ": note\\n\\n|none",
-        "event: x\\nid: 1\\ndata: a\\n\\n|a", "data: a\\n|none", "data: a|none", "\\n\\n\\n|none",
-        "data: héé\\n\\n|héé", "data: [DONE]\\n\\n|[DONE]", "datum: a\\n\\n|none"})
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "none",
+            value = {
+                "data: a\\n\\n|a", "data:a\\n\\ndata: b\\n\\n|a;b", "data: a\\r\\n\\r\\n|a", "data: a\\r\\r|a",
+                "data: a\\ndata: b\\n\\n|a\\nb", "data\\n\\n|''", "data:  a\\n\\n|' a'", ": note\\n\\n|none",
+                "event: x\\nid: 1\\ndata: a\\n\\n|a", "data: a\\n|none", "data: a|none", "\\n\\n\\n|none",
+                "data: héé\\n\\n|héé", "data: [DONE]\\n\\n|[DONE]", "datum: a\\n\\n|none"
+            })
     void eventsAreReadInPiecesOfAnySize(String stream, String expected) {
         byte[] bytes = stream.replace("\\n", "\n").replace("\\r", "\r").getBytes(StandardCharsets.UTF_8);
         for (int size : new int[] {bytes.length, 1, 3}) {
@@ -26,7 +30,10 @@
             for (int at = 0; at < bytes.length; at += size) {
                 reader.read(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at)));
             }
-            assertEquals(expected == null ? List.of() : List.of(expected.replace("\\n", "\n").split(";", -1)),
+            assertEquals(
+                    expected == null
+                            ? List.of()
+                            : List.of(expected.replace("\\n", "\n").split(";", -1)),
                     events);
         }
     }
--- a/src/test/java/dunlinladder/dialect/RepliesTest.java
+++ b/src/test/java/dunlinladder/dialect/RepliesTest.java
@@ -28,9 +28,7 @@
 class RepliesTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ReplyWriter.Identity IDENTITY = new ReplyWriter.Identity("7", "shelf", 5, true,
-            false,
-            null);
+    private static final ReplyWriter.Identity IDENTITY = new ReplyWriter.Identity("7", "shelf", 5, true, false, null);
 
     private static byte[] recorded(String name) throws IOException {
         try (InputStream in = RepliesTest.class.getResourceAsStream("/dialect/" + name)) {
@@ -40,8 +38,8 @@
     }
 
     static Stream<Arguments> pairs() {
-        return Arrays.stream(Format.values()).flatMap(from -> Arrays.stream(Format.values())
-                .map(to -> Arguments.of(from, to)));
+        return Arrays.stream(Format.values())
+                .flatMap(from -> Arrays.stream(Format.values()).map(to -> Arguments.of(from, to)));
     }
 
     /** What an answer says, without how it was cut into pieces. */
@@ -50,8 +48,8 @@
         List<StringBuilder> parts = new ArrayList<>();
         for (ReplyEvent event : events) {
             if (event instanceof ReplyEvent.Open open) {
-                parts.add(new StringBuilder(open.kind() + " " + (open.callId() == null ? ""
-                        : open.callId() + " " + open.name() + " ")));
+                parts.add(new StringBuilder(
+                        open.kind() + " " + (open.callId() == null ? "" : open.callId() + " " + open.name() + " ")));
             } else if (event instanceof ReplyEvent.Grow grow) {
                 parts.get(grow.part()).append(grow.text());
             } else if (event instanceof ReplyEvent.Close close) {
@@ -72,8 +70,7 @@
     private static List<ReplyEvent> read(Format format, byte[] stream) {
         List<ReplyEvent> events = new ArrayList<>();
         ReplyReader reader = ReplyReader.of(format);
-        new EventReader((name, data) -> events.addAll(reader.event(name, data)))
-                .read(ByteBuffer.wrap(stream));
+        new EventReader((name, data) -> events.addAll(reader.event(name, data))).read(ByteBuffer.wrap(stream));
         events.addAll(reader.end());
         return events;
     }
@@ -88,12 +85,15 @@
         return out.toString();
     }
 
-    private static final List<String> TEXT = List.of("TEXT Zwei B\u00fccher \ud83d\udcda, \"neu\".",
-            "finish STOP",
-            "usage 120 64 9", "end");
-    private static final List<String> CALLS = List.of("TEXT Let me look.",
-            "CALL c1 find {\"title\":\"Emma\"}", "CALL c2 price {\"id\":4}", "finish CALLS", "usage 50 0 30",
-                    "end");
+    private static final List<String> TEXT =
+            List.of("TEXT Zwei B\u00fccher \ud83d\udcda, \"neu\".", "finish STOP", "usage 120 64 9", "end");
+    private static final List<String> CALLS = List.of(
+            "TEXT Let me look.",
+            "CALL c1 find {\"title\":\"Emma\"}",
+            "CALL c2 price {\"id\":4}",
+            "finish CALLS",
+            "usage 50 0 30",
+            "end");
 
     @ParameterizedTest
     @EnumSource(Format.class)
@@ -124,8 +124,7 @@
     void callsSayTheSameInEachOtherFormat(Format from, Format to) throws IOException {
         if (from != Format.COMPLETIONS && to != Format.COMPLETIONS) {
             byte[] stream = recorded("calls-" + from.key() + ".sse");
-            assertEquals(CALLS, said(read(to, translate(from, to, stream, 5)
-                    .getBytes(StandardCharsets.UTF_8))));
+            assertEquals(CALLS, said(read(to, translate(from, to, stream, 5).getBytes(StandardCharsets.UTF_8))));
         }
     }
 
@@ -134,8 +133,8 @@
     @MethodSource("pairs")
     void aWholeAnswerSaysWhatTheStreamSaid(Format from, Format to) throws IOException {
         Translation translation = new Translation(from, to, IDENTITY, false);
-        translation.stream(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> { });
-        translation.end(text -> { });
+        translation.stream(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> {});
+        translation.end(text -> {});
         assertTrue(translation.whole());
         byte[] body = translation.answer().toString().getBytes(StandardCharsets.UTF_8);
         assertEquals(TEXT, said(ReplyReader.of(to).whole(body)));
@@ -182,32 +181,45 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'length'}]} | LENGTH",
-        "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'content_filter'}]} | FILTER",
-        "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'novel'}]} | UNKNOWN",
-        "MESSAGES | {'type':'message_delta','delta':{'stop_reason':'refusal'}} | REFUSAL",
-        "MESSAGES | {'type':'message_delta','delta':{'stop_reason':'max_tokens'}} | LENGTH",
-        "RESPONSES | {'type':'response.incomplete','response':{'status':'incomplete',"
-                + "'incomplete_details':{'reason':'content_filter'}}} | FILTER",
-        "RESPONSES | {'type':'response.incomplete','response':{'status':'incomplete',"
-                + "'incomplete_details':{'reason':'max_output_tokens'}}} | LENGTH",
-        "COMPLETIONS | {'choices':[{'index':0,'text':'a','finish_reason':'length'}]} | LENGTH"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'length'}]} | LENGTH",
+                "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'content_filter'}]} | FILTER",
+                "CHAT | {'choices':[{'index':0,'delta':{'content':'a'},'finish_reason':'novel'}]} | UNKNOWN",
+                "MESSAGES | {'type':'message_delta','delta':{'stop_reason':'refusal'}} | REFUSAL",
+                "MESSAGES | {'type':'message_delta','delta':{'stop_reason':'max_tokens'}} | LENGTH",
+                "RESPONSES | {'type':'response.incomplete','response':{'status':'incomplete',"
+                        + "'incomplete_details':{'reason':'content_filter'}}} | FILTER",
+                "RESPONSES | {'type':'response.incomplete','response':{'status':'incomplete',"
+                        + "'incomplete_details':{'reason':'max_output_tokens'}}} | LENGTH",
+                "COMPLETIONS | {'choices':[{'index':0,'text':'a','finish_reason':'length'}]} | LENGTH"
+            })
     void eachEndHasItsRow(Format from, String event, Reason reason) {
         List<ReplyEvent> events = ReplyReader.of(from).event(null, event.replace('\'', '"'));
-        assertEquals(reason, events.stream().filter(e -> e instanceof ReplyEvent.Finish)
-                .map(e -> ((ReplyEvent.Finish) e).reason()).findFirst().orElseThrow());
+        assertEquals(
+                reason,
+                events.stream()
+                        .filter(e -> e instanceof ReplyEvent.Finish)
+                        .map(e -> ((ReplyEvent.Finish) e).reason())
+                        .findFirst()
+                        .orElseThrow());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "400 | {'error':{'type':'invalid_request_error','message':'x is bad','param':'x'}} | INVALID | true",
-        "429 | {'error':{'type':'rate_limit_error','message':'your key'}} | RATE_LIMIT | false",
-        "529 | {'type':'error','error':{'type':'overloaded_error'}} | OVERLOADED | false",
-        "500 | {'error':{'type':'never heard of'}} | SERVER | false",
-        "418 | {} | SERVER | false",
-        "404 | {'error':{'code':'model_not_found'}} | SERVER | false",
-        "0 | {'error':{'code':'content_filter'}} | FILTERED | true"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "400 | {'error':{'type':'invalid_request_error','message':'x is bad','param':'x'}} | INVALID | true",
+                "429 | {'error':{'type':'rate_limit_error','message':'your key'}} | RATE_LIMIT | false",
+                "529 | {'type':'error','error':{'type':'overloaded_error'}} | OVERLOADED | false",
+                "500 | {'error':{'type':'never heard of'}} | SERVER | false",
+                "418 | {} | SERVER | false",
+                "404 | {'error':{'code':'model_not_found'}} | SERVER | false",
+                "0 | {'error':{'code':'content_filter'}} | FILTERED | true"
+            })
     void eachErrorHasItsRow(int status, String body, Fault.Kind kind, boolean mine) throws IOException {
         JsonNode node = JSON.readTree(body.replace('\'', '"'));
         assertEquals(kind, Faults.read(status, node).kind());
@@ -242,20 +254,25 @@
     void logprobsEchoAndOlderCallsKeepTheirForm() throws IOException {
         ReplyWriter.Identity old = new ReplyWriter.Identity("7", "shelf", 5, false, true, "once ");
         Translation text = new Translation(Format.CHAT, Format.COMPLETIONS, old, false);
-        text.stream(ByteBuffer.wrap(("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"up\"},"
-                + "\"logprobs\":{\"content\":[{\"token\":\"up\",\"logprob\":-1.5,"
-                + "\"top_logprobs\":[{\"token\":\"on\",\"logprob\":-2.0}]}]},"
-                + "\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
-                .getBytes(StandardCharsets.UTF_8)), t -> { });
+        text.stream(
+                ByteBuffer.wrap(("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"up\"},"
+                                + "\"logprobs\":{\"content\":[{\"token\":\"up\",\"logprob\":-1.5,"
+                                + "\"top_logprobs\":[{\"token\":\"on\",\"logprob\":-2.0}]}]},"
+                                + "\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
+                        .getBytes(StandardCharsets.UTF_8)),
+                t -> {});
         JsonNode choice = text.answer().path("choices").path(0);
         assertEquals("once up", choice.path("text").asText());
-        assertEquals("{\"tokens\":[\"up\"],\"token_logprobs\":[-1.5],\"top_logprobs\":[{\"on\":-2.0}]}",
+        assertEquals(
+                "{\"tokens\":[\"up\"],\"token_logprobs\":[-1.5],\"top_logprobs\":[{\"on\":-2.0}]}",
                 choice.path("logprobs").toString());
         Translation call = new Translation(Format.CHAT, Format.CHAT, old, false);
-        call.stream(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> { });
+        call.stream(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> {});
         JsonNode message = call.answer().path("choices").path(0);
         assertEquals("function_call", message.path("finish_reason").asText());
-        assertEquals("find", message.path("message").path("function_call").path("name").asText());
+        assertEquals(
+                "find",
+                message.path("message").path("function_call").path("name").asText());
         assertNull(call.fault());
     }
 }
--- a/src/test/java/dunlinladder/dialect/RequestsTest.java
+++ b/src/test/java/dunlinladder/dialect/RequestsTest.java
@@ -30,14 +30,21 @@
     }
 
     private JsonNode translate(String from, String to, String body, Requests.Unknown unknown) {
-        return Pieces.body(Requests.write(Format.of(to).orElseThrow(), Requests.read(Format.of(from)
-                .orElseThrow(), json(body), unknown, warnings), 800, warnings).toString()
+        return Pieces.body(Requests.write(
+                        Format.of(to).orElseThrow(),
+                        Requests.read(Format.of(from).orElseThrow(), json(body), unknown, warnings),
+                        800,
+                        warnings)
+                .toString()
                 .getBytes(StandardCharsets.UTF_8));
     }
 
     /** The cases stand in a file: from, to, the client's body, what the engine gets. */
     @ParameterizedTest
-    @CsvFileSource(resources = "/dialect/requests.csv", delimiter = '|', numLinesToSkip = 1,
+    @CsvFileSource(
+            resources = "/dialect/requests.csv",
+            delimiter = '|',
+            numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
     void aRequestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
@@ -45,27 +52,34 @@
     }
 
     @ParameterizedTest
-    @CsvFileSource(resources = "/dialect/refused.csv", delimiter = '|', numLinesToSkip = 1,
+    @CsvFileSource(
+            resources = "/dialect/refused.csv",
+            delimiter = '|',
+            numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
     void whatCannotBeExpressedIsRefusedByName(String from, String to, String body, String field) {
-        Untranslatable error = assertThrows(Untranslatable.class,
-                () -> translate(from, to, body, Requests.Unknown.REFUSE));
+        Untranslatable error =
+                assertThrows(Untranslatable.class, () -> translate(from, to, body, Requests.Unknown.REFUSE));
         assertEquals(field, error.field());
         assertTrue(error.getMessage().contains(field), error.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "chat | messages | {'model':'m','max_tokens':9,'seed':7,'messages':[{'role':'user','content':'a'}]} "
-                + "| seed",
-        "messages | chat | {'model':'m','max_tokens':9,'top_k':7,'messages':[{'role':'user','content':'a'}]} "
-                + "| top_k",
-        "responses | chat | {'model':'m','input':'a','max_tool_calls':2} | max_tool_calls",
-        "chat | completions | {'model':'m','messages':[{'role':'user','content':'a'}],'metadata':{'a':'b'}} "
-                + "| metadata",
-        "chat | messages | {'model':'m','max_tokens':1100,'reasoning_effort':'high',"
-                + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "chat | messages | {'model':'m','max_tokens':9,'seed':7,'messages':[{'role':'user','content':'a'}]} "
+                        + "| seed",
+                "messages | chat | {'model':'m','max_tokens':9,'top_k':7,'messages':[{'role':'user','content':'a'}]} "
+                        + "| top_k",
+                "responses | chat | {'model':'m','input':'a','max_tool_calls':2} | max_tool_calls",
+                "chat | completions | {'model':'m','messages':[{'role':'user','content':'a'}],'metadata':{'a':'b'}} "
+                        + "| metadata",
+                "chat | messages | {'model':'m','max_tokens':1100,'reasoning_effort':'high',"
+                        + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"
+            })
     void whatIsLeftOutIsSaid(String from, String to, String body, String field) {
         translate(from, to, body, Requests.Unknown.REFUSE);
         assertEquals(1, warnings.size(), warnings.toString());
@@ -75,8 +89,11 @@
     @ParameterizedTest
     @CsvSource({"PASS, true, 0", "DROP, false, 1"})
     void fieldsThatNoTableKnowsFollowTheOperator(Requests.Unknown unknown, boolean there, int warned) {
-        JsonNode body = translate("chat", "responses",
-                "{'model':'m','messages':[{'role':'user','content':'a'}],'novel':{'deep':1}}", unknown);
+        JsonNode body = translate(
+                "chat",
+                "responses",
+                "{'model':'m','messages':[{'role':'user','content':'a'}],'novel':{'deep':1}}",
+                unknown);
         assertEquals(there, body.has("novel"));
         assertEquals(warned, warnings.size());
     }
@@ -85,14 +102,17 @@
     @ParameterizedTest
     @EnumSource(Format.class)
     void everyFieldOfAFormatComesBackAsItWas(Format format) throws IOException {
-        JsonNode body = JSON.readTree(RequestsTest.class.getResourceAsStream("/dialect/full-" + format.key()
-                + ".json"));
+        JsonNode body =
+                JSON.readTree(RequestsTest.class.getResourceAsStream("/dialect/full-" + format.key() + ".json"));
         for (Fields.Field field : Fields.of(format)) {
-            assertTrue(field.alias() || !body.at("/" + field.path().replace('.', '/')).isMissingNode(),
+            assertTrue(
+                    field.alias()
+                            || !body.at("/" + field.path().replace('.', '/')).isMissingNode(),
                     "the full request lacks " + field.path());
         }
-        assertEquals(body, Requests.write(format, Requests.read(format, body, Requests.Unknown.REFUSE,
-                warnings), 800, warnings));
+        assertEquals(
+                body,
+                Requests.write(format, Requests.read(format, body, Requests.Unknown.REFUSE, warnings), 800, warnings));
         assertEquals(List.of(), warnings);
     }
 
--- a/src/test/java/dunlinladder/generation/GenerationTest.java
+++ b/src/test/java/dunlinladder/generation/GenerationTest.java
@@ -21,13 +21,17 @@
 class GenerationTest {
 
     private static final Generation OLD = new Generation("old", Format.COMPLETIONS, Set.of(), Set.of(), null);
-    private static final Generation NEW = new Generation("new", Format.RESPONSES, Set.of(), Set.of(),
-            Pattern.compile("fresh-.*"));
+    private static final Generation NEW =
+            new Generation("new", Format.RESPONSES, Set.of(), Set.of(), Pattern.compile("fresh-.*"));
     private static final List<Generation> BOTH = List.of(NEW, OLD);
 
     private static Move move(double failed, boolean back) {
-        return new Move("old", "new", List.of(new Move.Stage(0.1, 0.5, 60), new Move.Stage(0.5, 1, 60),
-                new Move.Stage(1, 1, 60)), new Move.Stop(failed, 0.05, 2, 20, back), 10);
+        return new Move(
+                "old",
+                "new",
+                List.of(new Move.Stage(0.1, 0.5, 60), new Move.Stage(0.5, 1, 60), new Move.Stage(1, 1, 60)),
+                new Move.Stop(failed, 0.05, 2, 20, back),
+                10);
     }
 
     private static Engine engine(String id, double startedAt) {
@@ -37,8 +41,8 @@
     private final List<Engine> listed = new ArrayList<>(List.of(engine("fresh-1", 0), engine("box-1", 0)));
 
     private Routing routing(Move move, long seed) {
-        return new Routing(BOTH, move, () -> listed, e -> e.kind() == 0 ? Routing.READS | Routing.WRITES
-                : e.kind(), seed, 0);
+        return new Routing(
+                BOTH, move, () -> listed, e -> e.kind() == 0 ? Routing.READS | Routing.WRITES : e.kind(), seed, 0);
     }
 
     private static void good(Progress progress, int count, double now) {
@@ -214,8 +218,8 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.5, 1})
     void aStagesShareOfEnginesMovesTheSameAtEveryGateway(double share) {
-        Move move = new Move("old", "new", List.of(new Move.Stage(share, 1, 60)), new Move.Stop(0.02, 0.05, 2,
-                20, true), 10);
+        Move move = new Move(
+                "old", "new", List.of(new Move.Stage(share, 1, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
         Routing one = routing(move, 1);
         Routing other = routing(move, 99);
         listed.clear();
@@ -226,7 +230,9 @@
         other.may(listed.get(0), new Routing.Ask("a", 0, true), 0);
         int moved = 0;
         for (Engine box : listed) {
-            assertEquals(one.of(box).orElseThrow().name(), other.of(box).orElseThrow().name());
+            assertEquals(
+                    one.of(box).orElseThrow().name(),
+                    other.of(box).orElseThrow().name());
             moved += one.of(box).orElseThrow() == NEW ? 1 : 0;
         }
         assertEquals(share, moved / 1000.0, 0.0011);
@@ -235,8 +241,8 @@
     /** An engine that has just moved is offered to ever more requests, not to all at once. */
     @Test
     void aMovedEngineGetsItsShareStepByStep() {
-        Move move = new Move("old", "new", List.of(new Move.Stage(1, 1, 60)), new Move.Stop(0.02, 0.05, 2, 20,
-                true), 10);
+        Move move =
+                new Move("old", "new", List.of(new Move.Stage(1, 1, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
         Routing routing = routing(move, 1);
         double[] shares = new double[3];
         for (int i = 0; i < 3000; i++) {
@@ -252,9 +258,8 @@
 
     @Test
     void shopsOutsideAStageStayWithTheOldEngines() {
-        Move move = new Move("old", "new", List.of(new Move.Stage(1, 0.5, 60)), new Move.Stop(0.02, 0.05, 2,
-                20,
-                true), 10);
+        Move move =
+                new Move("old", "new", List.of(new Move.Stage(1, 0.5, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
         Routing routing = routing(move, 1);
         int may = 0;
         for (int shop = 0; shop < 1000; shop++) {
--- a/src/test/java/dunlinladder/it/ChatTest.java
+++ b/src/test/java/dunlinladder/it/ChatTest.java
@@ -27,8 +27,10 @@
 class ChatTest {
 
     private static final String KEY = "Authorization: Bearer secret\r\n";
+
     @TempDir
     private static Path folder;
+
     private static Running running;
 
     @BeforeAll
@@ -47,10 +49,15 @@
     }
 
     private static Browser post(String model, boolean stream, String text) throws Exception {
-        return new Browser(running.chatPort).send("POST", "/v1/chat/completions", KEY, "{\"model\":\"" + model
-                + "\",\"stream\":" + stream
-                        + ",\"messages\":[{\"role\":\"system\",\"content\":\"Be brief.\"},"
-                + "{\"role\":\"user\",\"content\":\"" + text + "\"}]}");
+        return new Browser(running.chatPort)
+                .send(
+                        "POST",
+                        "/v1/chat/completions",
+                        KEY,
+                        "{\"model\":\"" + model
+                                + "\",\"stream\":" + stream
+                                + ",\"messages\":[{\"role\":\"system\",\"content\":\"Be brief.\"},"
+                                + "{\"role\":\"user\",\"content\":\"" + text + "\"}]}");
     }
 
     @Test
@@ -60,10 +67,12 @@
             assertEquals("text/event-stream", browser.headers.get("content-type"));
             String[] events = browser.body().split("\n\n");
             assertEquals(3, events.length);
-            assertTrue(events[0].matches("data: \\{\"id\":\"chatcmpl-[0-9a-f]+\",\"object\":\"chat.completion"
-                    + ".chunk\",\"created\":\\d+,\"model\":\"find\",\"choices\":\\[\\{\"index\":0,\"delt"
+            assertTrue(
+                    events[0].matches("data: \\{\"id\":\"chatcmpl-[0-9a-f]+\",\"object\":\"chat.completion"
+                            + ".chunk\",\"created\":\\d+,\"model\":\"find\",\"choices\":\\[\\{\"index\":0,\"delt"
                             + "a\":\\{"
-                    + "\"role\":\"assistant\",\"content\":\"one\"},\"finish_reason\":null}]}"), events[0]);
+                            + "\"role\":\"assistant\",\"content\":\"one\"},\"finish_reason\":null}]}"),
+                    events[0]);
             assertEquals("data: [DONE]", events[2]);
         }
     }
@@ -77,17 +86,23 @@
             assertTrue(body.contains("\"object\":\"chat.completion\"")
                     && body.contains("\"content\":\"one two\"")
                     && body.contains("\"finish_reason\":\"stop\"")
-                            && body.contains("\"completion_tokens\":2"));
+                    && body.contains("\"completion_tokens\":2"));
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"find, true, unclosed, 200", "list, false, cut, 502",
-        "list, false, unclosed, 502", "find, true, spoilt size, 200", "list, false, spoilt opening, 502",
-        "list, true, reset-writer, 502", "list, true, hang-writer, 504",
-        "list, false, hang-reader, 429", "gone, true, plain, 404"})
-    void brokenAnswersAreNotPassedOffAsWhole(String model, boolean stream, String text, int status)
-            throws Exception {
+    @CsvSource({
+        "find, true, unclosed, 200",
+        "list, false, cut, 502",
+        "list, false, unclosed, 502",
+        "find, true, spoilt size, 200",
+        "list, false, spoilt opening, 502",
+        "list, true, reset-writer, 502",
+        "list, true, hang-writer, 504",
+        "list, false, hang-reader, 429",
+        "gone, true, plain, 404"
+    })
+    void brokenAnswersAreNotPassedOffAsWhole(String model, boolean stream, String text, int status) throws Exception {
         try (Browser browser = post(model, stream, text + " once")) {
             assertTrue(browser.head());
             assertEquals(status, browser.status);
@@ -101,15 +116,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"POST|/v1/chat/completions|secret|{}|400",
-        "POST|/v1/chat/completions|secret|hello|400", "POST|/v1/chat/completions|wrong|{}|401",
-        "GET|/v1/models|wrong|x|401", "GET|/v1/models|secret|x|200", "POST|/v1/models|secret|x|405",
-        "GET|/v1/engines|secret|x|404", "POST|/v1/chat/completions|secret|long|413"})
-    void requestsAreChecked(String method, String target, String key, String body,
-            int status) throws Exception {
-        try (Browser browser = new Browser(running.chatPort).send(method, target,
-                "Authorization: Bearer " + key
-                + "\r\n", body.equals("long") ? "x".repeat(300_000) : body)) {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "POST|/v1/chat/completions|secret|{}|400",
+                "POST|/v1/chat/completions|secret|hello|400",
+                "POST|/v1/chat/completions|wrong|{}|401",
+                "GET|/v1/models|wrong|x|401",
+                "GET|/v1/models|secret|x|200",
+                "POST|/v1/models|secret|x|405",
+                "GET|/v1/engines|secret|x|404",
+                "POST|/v1/chat/completions|secret|long|413"
+            })
+    void requestsAreChecked(String method, String target, String key, String body, int status) throws Exception {
+        try (Browser browser = new Browser(running.chatPort)
+                .send(
+                        method,
+                        target,
+                        "Authorization: Bearer " + key + "\r\n",
+                        body.equals("long") ? "x".repeat(300_000) : body)) {
             assertTrue(browser.head());
             assertEquals(status, browser.status);
             assertTrue(browser.body().contains(status == 200 ? "\"id\":\"find\"" : "\"error\":{"));
@@ -119,8 +144,9 @@
     /** Hard cases mixed: each client gets one terminal outcome, and no listing runs at a writer twice. */
     @Test
     void twoThousandMixedRequests() throws Exception {
-        String[] kinds = {"plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-writer",
-            "plain", "pause"};
+        String[] kinds = {
+            "plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-writer", "plain", "pause"
+        };
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<String>> outcomes = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
@@ -137,8 +163,12 @@
         clients.shutdown();
         for (int i = 0; i < 2000; i++) {
             String name = "-list-" + i + ".";
-            long ran = running.atWriters("POST", name) - (running.atWriters("POST", "busy-writer" + name) > 0
-                    ? running.writers.stream().filter(w -> w.count("POST", name) > 0).count() : 0);
+            long ran = running.atWriters("POST", name)
+                    - (running.atWriters("POST", "busy-writer" + name) > 0
+                            ? running.writers.stream()
+                                    .filter(w -> w.count("POST", name) > 0)
+                                    .count()
+                            : 0);
             assertTrue(ran <= 1, name + " ran " + ran + " times");
         }
         assertEquals(2000, counts.values().stream().mapToInt(n -> n).sum(), counts::toString);
@@ -160,8 +190,11 @@
                 assertEquals(1, done + errors, name + body);
                 assertEquals(kind.equals("cut") || kind.equals("unclosed") ? 1 : 0, errors, name);
                 // Nothing may follow the terminal event.
-                assertTrue(body.endsWith("\n\n") && body.lastIndexOf("data: ") == Math.max(
-                        body.indexOf("data: [DONE]"), body.indexOf("data: {\"error\"")), body);
+                assertTrue(
+                        body.endsWith("\n\n")
+                                && body.lastIndexOf("data: ")
+                                        == Math.max(body.indexOf("data: [DONE]"), body.indexOf("data: {\"error\"")),
+                        body);
             } else {
                 assertEquals(browser.status == 200 ? 0 : 1, errors, name);
             }
--- a/src/test/java/dunlinladder/it/ConformanceTest.java
+++ b/src/test/java/dunlinladder/it/ConformanceTest.java
@@ -22,15 +22,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Recorded requests replayed through the started program, for each format of engines, and the answers held
- * against recorded ones field by field. A recorded {@code "*"} stands for any value: ids and times.
+ * Recorded requests replayed through the started program, for each format of engines, and the answers held against
+ * recorded ones field by field. A recorded {@code "*"} stands for any value: ids and times.
  */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConformanceTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
+
     @TempDir
     private static Path folder;
+
     private static int passed;
     private static int failed;
 
@@ -47,8 +49,9 @@
                 {"serial":1,"settings":{"listen":"127.0.0.1:0","deadlines.listing":"20",
                 "keys.CHAT_KEY.tenant":"acme","models.find.class":"lookup","models.list.class":"listing",
                 "generations.all.format":"%s"}}""".formatted(engines));
-        File[] files = new File(ConformanceTest.class.getResource("/conformance").toURI()).listFiles(
-                (dir, name) -> name.endsWith(".json") && name.contains("-from-" + engines + "-"));
+        File[] files = new File(
+                        ConformanceTest.class.getResource("/conformance").toURI())
+                .listFiles((dir, name) -> name.endsWith(".json") && name.contains("-from-" + engines + "-"));
         Arrays.sort(files);
         StringBuilder faults = new StringBuilder();
         try (Running running = new Running(Map.of("CHAT_KEY", "secret"), state)) {
@@ -68,10 +71,12 @@
         String request = recorded.get("request").toString();
         try (Browser browser = new Browser(running.chatPort)) {
             byte[] body = request.getBytes(StandardCharsets.UTF_8);
-            browser.socket.getOutputStream().write(("POST " + recorded.get("path").asText() + " HTTP/1.1\r\n"
-                    + "Host: x\r\nAuthorization: Bearer secret\r\nContent-Length: " + body.length
-                            + "\r\n\r\n")
-                    .getBytes(StandardCharsets.UTF_8));
+            browser.socket
+                    .getOutputStream()
+                    .write(("POST " + recorded.get("path").asText() + " HTTP/1.1\r\n"
+                                    + "Host: x\r\nAuthorization: Bearer secret\r\nContent-Length: " + body.length
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.UTF_8));
             browser.socket.getOutputStream().write(body);
             if (!browser.head()) {
                 return "no answer";
@@ -80,7 +85,8 @@
             if (browser.status != recorded.get("status").asInt()) {
                 return "status " + browser.status + ": " + answer;
             }
-            return recorded.has("answer") ? differs("", recorded.get("answer"), JSON.readTree(answer))
+            return recorded.has("answer")
+                    ? differs("", recorded.get("answer"), JSON.readTree(answer))
                     : differs("", recorded.get("events"), events(answer));
         }
     }
@@ -116,14 +122,13 @@
         if (recorded.isObject() && now.isObject()) {
             TreeSet<String> names = new TreeSet<>();
             for (JsonNode each : List.of(recorded, now)) {
-                for (Iterator<String> name = each.fieldNames(); name.hasNext();) {
+                for (Iterator<String> name = each.fieldNames(); name.hasNext(); ) {
                     names.add(name.next());
                 }
             }
             for (String name : names) {
                 if (!recorded.has(name) || !now.has(name)) {
-                    return at + "/" + name + (now.has(name) ? " should not be there: " : " is missing in ")
-                            + now;
+                    return at + "/" + name + (now.has(name) ? " should not be there: " : " is missing in ") + now;
                 }
                 String inner = differs(at + "/" + name, recorded.get(name), now.get(name));
                 if (inner != null) {
--- a/src/test/java/dunlinladder/it/CrossingsTest.java
+++ b/src/test/java/dunlinladder/it/CrossingsTest.java
@@ -48,13 +48,15 @@
 
     /** Its end stands behind requests that are not read, and the one that was taken would run on unheard. */
     @ParameterizedTest
-    @CsvSource({"0, false", "1, false", "2, false", "50, false", "2000, false", "0, true", "2, true",
-    "50, true"})
+    @CsvSource({"0, false", "1, false", "2, false", "50, false", "2000, false", "0, true", "2, true", "50, true"})
     void whoSendsMoreThanOneAndLeavesEndsItsAttempt(int more, boolean reset) throws Exception {
         try (Browser hasty = running.post(id, "listing", "600.0", "hang-reader")) {
             for (int i = 0; i < more; i++) {
-                hasty.send("POST", "/v1/chat/completions",
-                        Running.headers(Running.freshId(), "listing", "600.0"), "hasty");
+                hasty.send(
+                        "POST",
+                        "/v1/chat/completions",
+                        Running.headers(Running.freshId(), "listing", "600.0"),
+                        "hasty");
             }
             StandIn.until(() -> running.reader.count("POST", "hang-reader") == 1);
             // Served by the same thread, which has looked at what was sent here by then.
@@ -72,17 +74,17 @@
     }
 
     /**
-     * The other half of a request comes once the gateway has been told to end and has closed what rests: it
-     * is refused, which is honest, as no engine has seen it; taken, it might be open at the kill. A program
-     * that did not wait for it would have ended long before the time that is waited here.
+     * The other half of a request comes once the gateway has been told to end and has closed what rests: it is refused,
+     * which is honest, as no engine has seen it; taken, it might be open at the kill. A program that did not wait for
+     * it would have ended long before the time that is waited here.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 60, 520})
     void aRequestThatIsHalfHereAtTheEndIsAnswered(int before) throws Exception {
-        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(id, "lookup",
-                "4.0")
+        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(id, "lookup", "4.0")
                 + "Content-Length: 400\r\n\r\n" + "x".repeat(400);
-        try (Browser slow = new Browser(running.port); Browser resting = new Browser(running.port);
+        try (Browser slow = new Browser(running.port);
+                Browser resting = new Browser(running.port);
                 Browser up = new Browser(running.port)) {
             assertEquals(200, plain(resting, Running.freshId()));
             running.process.destroy();
@@ -106,9 +108,8 @@
     }
 
     /**
-     * The heads of these streams went out before the end was told and promise nothing; each client sends its
-     * next request as soon as it has the last chunk. Taken, it would be lost where engines hang until the
-     * kill.
+     * The heads of these streams went out before the end was told and promise nothing; each client sends its next
+     * request as soon as it has the last chunk. Taken, it would be lost where engines hang until the kill.
      */
     @Test
     void aStreamThatEndsAfterTheEndWasToldTakesItsConnectionAlong() throws Exception {
@@ -126,8 +127,10 @@
             for (Browser each : streaming) {
                 assertTrue(each.body().endsWith("[DONE]\n\n"));
                 try {
-                    each.send("POST", "/v1/chat/completions", Running.headers(Running.freshId(), "listing",
-                            "9.0"),
+                    each.send(
+                            "POST",
+                            "/v1/chat/completions",
+                            Running.headers(Running.freshId(), "listing", "9.0"),
                             "next");
                     assertFalse(each.head());
                 } catch (SocketException e) {
@@ -140,8 +143,8 @@
     }
 
     /**
-     * Requests come on resting connections all through the moments in which these are closed: each is
-     * answered whole, or its connection ends and no engine has seen it, so that its client may send it again.
+     * Requests come on resting connections all through the moments in which these are closed: each is answered whole,
+     * or its connection ends and no engine has seen it, so that its client may send it again.
      */
     @Test
     void aRequestInTheMomentOfACloseIsAnsweredOrNeverSentOn() throws Exception {
@@ -164,15 +167,15 @@
                     Thread.onSpinWait();
                 }
                 try (browser) {
-                    browser.send("POST", "/v1/chat/completions", Running.headers(own, "lookup", "4.0"),
-                            "moment");
+                    browser.send("POST", "/v1/chat/completions", Running.headers(own, "lookup", "4.0"), "moment");
                     if (browser.head() && browser.body().endsWith("[DONE]\n\n")) {
                         return;
                     }
                 } catch (IOException e) {
                     // A reset is an end too.
                 }
-                if (running.reader.seen.stream().anyMatch(s -> own.equals(s.headers().get("X-Request-ID")))) {
+                if (running.reader.seen.stream()
+                        .anyMatch(s -> own.equals(s.headers().get("X-Request-ID")))) {
                     lost.add(own);
                 }
             });
@@ -193,8 +196,7 @@
             assertTrue(browser.head());
             StringBuilder seen = new StringBuilder();
             for (int i = 1; i < 20; i++) {
-                String event = i == 1 ? StandIn.delta("one", "null") : StandIn.delta("step " + (i - 1),
-                        "null");
+                String event = i == 1 ? StandIn.delta("one", "null") : StandIn.delta("step " + (i - 1), "null");
                 while (!seen.toString().endsWith(event)) {
                     int next = browser.socket.getInputStream().read();
                     assertTrue(next >= 0, "ended after " + seen);
@@ -210,8 +212,8 @@
     }
 
     /**
-     * Clients that rest, say nothing or half a head take every descriptor meant for clients while discovery
-     * is down: at its return its news is heard, engines are reached and later clients served.
+     * Clients that rest, say nothing or half a head take every descriptor meant for clients while discovery is down: at
+     * its return its news is heard, engines are reached and later clients served.
      */
     @Test
     void descriptorsTakenWhileDiscoveryIsDownCostNobodyElse() throws Exception {
@@ -241,7 +243,11 @@
             while (ask(narrow) != 200) {
                 Thread.yield();
             }
-            assertEquals(0, narrow.lines.stream().filter(l -> l.contains("Too many open files")).count());
+            assertEquals(
+                    0,
+                    narrow.lines.stream()
+                            .filter(l -> l.contains("Too many open files"))
+                            .count());
         } finally {
             for (Browser each : idle) {
                 each.close();
