--- a/src/test/java/dunlinladder/it/NewServersTest.java
+++ b/src/test/java/dunlinladder/it/NewServersTest.java
@@ -33,6 +33,7 @@
 
     @TempDir
     private Path folder;
+
     private Running running;
 
     private void start(String settings, Map<StandIn, String> more) throws Exception {
@@ -47,10 +48,15 @@
     }
 
     private Browser post(String path, String model, boolean stream, String text) throws Exception {
-        String talk = path.equals("/v1/completions") ? "\"prompt\":\"" + text + "\""
+        String talk = path.equals("/v1/completions")
+                ? "\"prompt\":\"" + text + "\""
                 : "\"max_tokens\":50,\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]";
-        return new Browser(running.chatPort).send("POST", path, "Authorization: Bearer secret\r\n",
-                "{\"model\":\"" + model + "\",\"stream\":" + stream + "," + talk + "}");
+        return new Browser(running.chatPort)
+                .send(
+                        "POST",
+                        path,
+                        "Authorization: Bearer secret\r\n",
+                        "{\"model\":\"" + model + "\",\"stream\":" + stream + "," + talk + "}");
     }
 
     @ParameterizedTest
@@ -65,8 +71,8 @@
                 assertTrue(body.contains(TEXT), body);
             }
         }
-        assertTrue(running.reader.seen.stream().allMatch(s -> s.target().equals("/v1/responses")
-                || s.method().equals("DELETE")));
+        assertTrue(running.reader.seen.stream()
+                .allMatch(s -> s.target().equals("/v1/responses") || s.method().equals("DELETE")));
         // A fault at each event of the answer: whatever the client has by then, it never gets a good end.
         for (int kept = 0; kept < 12; kept++) {
             try (Browser browser = post(path, "list", true, "broken after " + kept + " events")) {
@@ -109,13 +115,13 @@
     }
 
     /**
-     * While the fleet moves through all stages, and writers lose their connections: one outcome for each
-     * client, and no listing twice. {@code make soak} sends more.
+     * While the fleet moves through all stages, and writers lose their connections: one outcome for each client, and no
+     * listing twice. {@code make soak} sends more.
      */
     @Test
     void aMoveUnderLoadKeepsTheRules() throws Exception {
-        Map<StandIn, String> more = Map.of(new StandIn("reader"), "prompt", new StandIn("writer"), "answer",
-                new StandIn("writer"), "answer");
+        Map<StandIn, String> more = Map.of(
+                new StandIn("reader"), "prompt", new StandIn("writer"), "answer", new StandIn("writer"), "answer");
         start("""
                 "generations.old.format":"chat","generations.new.format":"responses",
                 "generations.new.ids":"none","move.from":"old","move.to":"new","move.ramp_seconds":"0.1",
@@ -129,11 +135,12 @@
         try {
             int sent = 0;
             int least = Integer.getInteger("dunlinladder.requests", 240);
-            List<StandIn> writers = more.entrySet().stream().filter(e -> e.getValue().equals("answer"))
-                    .map(Map.Entry::getKey).toList();
+            List<StandIn> writers = more.entrySet().stream()
+                    .filter(e -> e.getValue().equals("answer"))
+                    .map(Map.Entry::getKey)
+                    .toList();
             while (sent < least || running.lines.stream().noneMatch(line -> line.contains("state=DONE"))) {
-                String text = "n" + sent + (sent % 9 == 0 ? " reset-writer" : sent % 7 == 0 ? " busy-writer"
-                        : " .");
+                String text = "n" + sent + (sent % 9 == 0 ? " reset-writer" : sent % 7 == 0 ? " busy-writer" : " .");
                 String path = paths[sent % 3];
                 String model = sent % 2 == 0 ? "list" : "find";
                 boolean stream = sent % 5 == 0;
@@ -159,28 +166,41 @@
             engines.addAll(running.writers);
             for (int i = 0; i < sent; i += 2) {
                 String mark = "n" + i + " ";
-                long ran = engines.stream().flatMap(e -> e.seen.stream()).filter(s -> s.body().contains(mark)
-                        && !s.body().contains("busy-writer")).count();
+                long ran = engines.stream()
+                        .flatMap(e -> e.seen.stream())
+                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-writer"))
+                        .count();
                 // Reads of the further reader are no runs; each engine is counted for what it is.
-                long reads = more.entrySet().stream().filter(e -> e.getValue().equals("prompt"))
-                        .flatMap(e -> e.getKey().seen.stream()).filter(s -> s.body().contains(mark)
-                                && !s.body().contains("busy-writer")).count();
+                long reads = more.entrySet().stream()
+                        .filter(e -> e.getValue().equals("prompt"))
+                        .flatMap(e -> e.getKey().seen.stream())
+                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-writer"))
+                        .count();
                 assertTrue(ran - reads <= 1, "listing " + i + " ran " + (ran - reads) + " times");
             }
-            List<String> targets = engines.stream().flatMap(e -> e.seen.stream()).map(StandIn.Seen::target)
-                    .distinct().toList();
+            List<String> targets = engines.stream()
+                    .flatMap(e -> e.seen.stream())
+                    .map(StandIn.Seen::target)
+                    .distinct()
+                    .toList();
             assertTrue(targets.contains("/v1/responses") && targets.contains("/v1/chat/completions"));
             // The move is over: nothing goes out in the old format any more.
-            long old = engines.stream().flatMap(e -> e.seen.stream())
-                    .filter(s -> s.target().equals("/v1/chat/completions")).count();
+            long old = engines.stream()
+                    .flatMap(e -> e.seen.stream())
+                    .filter(s -> s.target().equals("/v1/chat/completions"))
+                    .count();
             for (int i = 0; i < 10; i++) {
                 try (Browser browser = post("/v1/chat/completions", "find", false, "after all")) {
                     assertTrue(browser.head());
                     browser.body();
                 }
             }
-            assertEquals(old, engines.stream().flatMap(e -> e.seen.stream())
-                    .filter(s -> s.target().equals("/v1/chat/completions")).count());
+            assertEquals(
+                    old,
+                    engines.stream()
+                            .flatMap(e -> e.seen.stream())
+                            .filter(s -> s.target().equals("/v1/chat/completions"))
+                            .count());
         } finally {
             pool.shutdownNow();
             assertTrue(pool.awaitTermination(30, TimeUnit.SECONDS));
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -41,12 +41,15 @@
         try (Browser browser = running.post(id, "lookup", "4.000", "{\"odd\" : 1}")) {
             assertTrue(browser.head());
             assertEquals(200, browser.status);
-            assertEquals(StandIn.delta("one", "null") + StandIn.delta(" two", "\"stop\"")
-                    + "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
-                    + "data: [DONE]\n\n", browser.body());
+            assertEquals(
+                    StandIn.delta("one", "null") + StandIn.delta(" two", "\"stop\"")
+                            + "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
+                            + "data: [DONE]\n\n",
+                    browser.body());
         }
         StandIn.Seen read = running.reader.seen.get(0);
-        assertEquals("POST /v1/chat/completions?trace=1 {\"odd\" : 1}",
+        assertEquals(
+                "POST /v1/chat/completions?trace=1 {\"odd\" : 1}",
                 read.method() + " " + read.target() + " " + read.body());
         assertEquals(id, read.headers().get("X-Request-ID"));
         double left = Double.parseDouble(read.headers().get("X-Timeout"));
@@ -56,13 +59,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"listing, reset-writer, 502, 1", "listing, error-writer, 502, 1",
-            "listing, busy-writer, 200, 3",
-        "listing, noise-writer, 502, 1", "listing, endless-writer, 502, 1", "listing, spoilt opening, 502, 1",
-        "lookup, noise-writer, 503, 3", "lookup, reset-writer, 503, 3", "lookup, error-writer, 503, 3",
-        "listing, reset-reader, 503, 0"})
-    void onlyWhatNeverRanOrMayRepeatIsSentAgain(String type, String what, int status, int atWriters)
-            throws Exception {
+    @CsvSource({
+        "listing, reset-writer, 502, 1",
+        "listing, error-writer, 502, 1",
+        "listing, busy-writer, 200, 3",
+        "listing, noise-writer, 502, 1",
+        "listing, endless-writer, 502, 1",
+        "listing, spoilt opening, 502, 1",
+        "lookup, noise-writer, 503, 3",
+        "lookup, reset-writer, 503, 3",
+        "lookup, error-writer, 503, 3",
+        "listing, reset-reader, 503, 0"
+    })
+    void onlyWhatNeverRanOrMayRepeatIsSentAgain(String type, String what, int status, int atWriters) throws Exception {
         try (Browser browser = running.post(id, type, "5.0", what)) {
             assertTrue(browser.head());
             assertEquals(status, browser.status);
@@ -79,8 +88,11 @@
             assertTrue(browser.head());
             assertEquals(status, browser.status);
         }
-        StandIn.until(() -> running.reader.abandoned.size() + running.writers.stream()
-                .mapToInt(w -> w.abandoned.size()).sum() > 0);
+        StandIn.until(() -> running.reader.abandoned.size()
+                        + running.writers.stream()
+                                .mapToInt(w -> w.abandoned.size())
+                                .sum()
+                > 0);
         StandIn.until(() -> running.releases(id) > 0);
     }
 
@@ -105,14 +117,22 @@
             assertTrue(browser.body().endsWith("(cut)"));
         }
         String again = Running.freshId();
-        try (Browser browser = new Browser(running.port).send("POST", "/v1/chat/completions",
-                Running.headers(again, type, "5.0") + "X-Retried: again\r\n", "the rest")) {
+        try (Browser browser = new Browser(running.port)
+                .send(
+                        "POST",
+                        "/v1/chat/completions",
+                        Running.headers(again, type, "5.0") + "X-Retried: again\r\n",
+                        "the rest")) {
             assertTrue(browser.head());
             assertEquals(200, browser.status);
             assertTrue(browser.body().endsWith("data: [DONE]\n\n"));
         }
-        assertEquals(List.of(again), running.reader.seen.stream().filter(s -> s.body().equals("the rest"))
-                .map(s -> s.headers().get("X-Request-ID")).toList());
+        assertEquals(
+                List.of(again),
+                running.reader.seen.stream()
+                        .filter(s -> s.body().equals("the rest"))
+                        .map(s -> s.headers().get("X-Request-ID"))
+                        .toList());
         assertEquals(1, running.atWriters("POST", "the rest"));
     }
 
@@ -163,8 +183,11 @@
                     && (what.equals("hang-reader") || running.atWriters("POST", what) > 0));
             assertTrue(what.startsWith("hang") || browser.head());
         }
-        StandIn.until(() -> running.reader.abandoned.size() + running.writers.stream()
-                .mapToInt(w -> w.abandoned.size()).sum() == 1);
+        StandIn.until(() -> running.reader.abandoned.size()
+                        + running.writers.stream()
+                                .mapToInt(w -> w.abandoned.size())
+                                .sum()
+                == 1);
         StandIn.until(() -> running.releases(id) > 0);
     }
 
@@ -175,8 +198,9 @@
         assertEquals(200, plain());
         StandIn leaving = running.writers.get(running.writers.get(0).seen.isEmpty() ? 1 : 0);
         // Lists may come indented.
-        running.discovery.tell(("{\"seq\":2,\"whole\":false,\"hosts\":["
-                + Running.host(leaving, "answer", "leaving") + "]}").replace(",", ",\n  "));
+        running.discovery.tell(
+                ("{\"seq\":2,\"whole\":false,\"hosts\":[" + Running.host(leaving, "answer", "leaving") + "]}")
+                        .replace(",", ",\n  "));
         // The other writer may be picked before the news is in; without it too, the news shows for certain.
         StandIn other = running.writers.get(1 - running.writers.indexOf(leaving));
         for (String health : new String[] {"leaving", "active"}) {
@@ -208,8 +232,8 @@
             running.configure(next.address(), Running.SETTINGS);
             running.signal("HUP");
             StandIn.until(() -> next.seen.size() == 1);
-            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("was read again")
-                    && !line.contains("not taken")));
+            StandIn.until(() -> running.lines.stream()
+                    .anyMatch(line -> line.contains("was read again") && !line.contains("not taken")));
             next.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
                     + Running.host(running.writers.get(0), "answer", "leaving") + ","
                     + Running.host(running.writers.get(1), "answer", "leaving") + "]}");
@@ -257,16 +281,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"POST, /v1/other, lookup, 4.0, 404", "GET, /v1/chat/completions, lookup, 4.0, 405",
-        "POST, /up, lookup, 4.0, 405", "POST, /v1/chat/completions, other, 4.0, 400",
-        "POST, /v1/chat/completions, lookup, soon, 400", "POST, /v1/chat/completions, lookup, -1, 400",
-        "POST, /v1/chat/completions, lookup, 413, 413", "GET, /up, lookup, 4.0, 200"})
-    void whatIsNotARequestTouchesNoEngine(String method, String target, String type, String timeout,
-            int status)
+    @CsvSource({
+        "POST, /v1/other, lookup, 4.0, 404",
+        "GET, /v1/chat/completions, lookup, 4.0, 405",
+        "POST, /up, lookup, 4.0, 405",
+        "POST, /v1/chat/completions, other, 4.0, 400",
+        "POST, /v1/chat/completions, lookup, soon, 400",
+        "POST, /v1/chat/completions, lookup, -1, 400",
+        "POST, /v1/chat/completions, lookup, 413, 413",
+        "GET, /up, lookup, 4.0, 200"
+    })
+    void whatIsNotARequestTouchesNoEngine(String method, String target, String type, String timeout, int status)
             throws Exception {
         String body = status == 413 ? "x".repeat(256 * 1024 + 1) : "{}";
-        try (Browser browser = new Browser(running.port)
-                .send(method, target, Running.headers(id, type, timeout), body)) {
+        try (Browser browser =
+                new Browser(running.port).send(method, target, Running.headers(id, type, timeout), body)) {
             assertTrue(browser.head());
             assertEquals(status, browser.status);
         }
@@ -275,18 +304,28 @@
 
     /** Each ends in an error or a close, and what stands behind or within is neither served nor sent on. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 4|Transfer-Encoding: chunked||0||POST", "Content-Length: -4||",
-        "Content-Length: 4|Content-Length: 4||", "Transfer-Encoding: chunked||zz|",
-        "Content-Length: 70000000||",
-        "Transfer-Encoding: chunked||FFFFFFFF|", "Endless: ", "Content-Length: 400||half", "A|", ""})
+    @ValueSource(
+            strings = {
+                "Content-Length: 4|Transfer-Encoding: chunked||0||POST",
+                "Content-Length: -4||",
+                "Content-Length: 4|Content-Length: 4||",
+                "Transfer-Encoding: chunked||zz|",
+                "Content-Length: 70000000||",
+                "Transfer-Encoding: chunked||FFFFFFFF|",
+                "Endless: ",
+                "Content-Length: 400||half",
+                "A|",
+                ""
+            })
     void whatCannotBeReadEndsItsConnection(String rest) throws Exception {
-        String hidden = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(
-                Running.freshId(), "lookup", "4.0") + "Content-Length: 6\r\n\r\nhidden";
-        try (Browser bad = new Browser(running.port); Browser good
-                = running.post(id, "lookup", "4.0", "{}")) {
+        String hidden = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+                + Running.headers(Running.freshId(), "lookup", "4.0") + "Content-Length: 6\r\n\r\nhidden";
+        try (Browser bad = new Browser(running.port);
+                Browser good = running.post(id, "lookup", "4.0", "{}")) {
             OutputStream out = bad.socket.getOutputStream();
-            out.write(("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(
-                    Running.freshId(), "lookup", "4.0") + rest.replace("|", "\r\n")).getBytes());
+            out.write(("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+                            + Running.headers(Running.freshId(), "lookup", "4.0") + rest.replace("|", "\r\n"))
+                    .getBytes());
             // What can be read whole has the hidden request behind it, an endless head goes on and on.
             String more = rest.contains("||") ? hidden : "x".repeat(40_000);
             if (!rest.contains("half") && !rest.isEmpty() && !rest.equals("A|")) {
@@ -321,8 +360,8 @@
     void requestsThatDoNotWaitAreRefusedAndTheFirstIsAnswered() throws Exception {
         try (Browser hasty = running.post(id, "lookup", "4.0", "plain first")) {
             for (int i = 0; i < 50; i++) {
-                hasty.send("POST", "/v1/chat/completions",
-                        Running.headers(Running.freshId(), "lookup", "4.0"), "hasty");
+                hasty.send(
+                        "POST", "/v1/chat/completions", Running.headers(Running.freshId(), "lookup", "4.0"), "hasty");
             }
             assertTrue(hasty.head());
             assertEquals(200, hasty.status);
--- a/src/test/java/dunlinladder/it/Running.java
+++ b/src/test/java/dunlinladder/it/Running.java
@@ -19,6 +19,7 @@
     private static final AtomicLong IDS = new AtomicLong();
     /** Jars on the path of the tests that the program by itself would not have open. */
     private static final int JARS = 40;
+
     static final String SETTINGS = """
             {"balancers":1,"caps":{"cancel":true,"connect-timeout":0.25,"keepalive":30.0,"max-attempts":4,
             "max-retry-after":0.5,"retry-after":false},"classes":[
@@ -37,11 +38,13 @@
     final List<StandIn> writers;
     /** Further engines and their kinds. */
     private final Map<StandIn, String> more;
+
     final StandIn discovery;
     /** Whose stand-ins these are; null where they are its own. */
     private final Running first;
     /** What the program has logged since it listens. */
     final List<String> lines = new CopyOnWriteArrayList<>();
+
     final Process process;
     private final Path config;
     private final int descriptors;
@@ -56,10 +59,7 @@
         this(environment, state, more, null, 1024);
     }
 
-    /**
-     * A gateway that may have so many descriptors and cannot have more, but for what the tests' many jars
-     * take.
-     */
+    /** A gateway that may have so many descriptors and cannot have more, but for what the tests' many jars take. */
     static Running withDescriptors(int most) throws IOException {
         return new Running(Map.of(), null, Map.of(), null, most);
     }
@@ -69,8 +69,9 @@
         return new Running(Map.of(), null, more, this, 1024);
     }
 
-    private Running(Map<String, String> environment, Path state, Map<StandIn, String> more, Running first,
-            int descriptors) throws IOException {
+    private Running(
+            Map<String, String> environment, Path state, Map<StandIn, String> more, Running first, int descriptors)
+            throws IOException {
         this.more = more;
         this.descriptors = descriptors;
         this.first = first;
@@ -79,15 +80,27 @@
         discovery = first == null ? new StandIn("discovery") : first.discovery;
         config = Files.createTempFile("gateway", ".json");
         configure(discovery.address(), SETTINGS);
-        ProcessBuilder builder = new ProcessBuilder(List.of("sh", "-c", "ulimit -n " + (descriptors + JARS)
-                + " && exec \"$0\" \"$@\"", Path.of(System.getProperty("java.home"), "bin",
-                "java").toString(),
-                "-Xmx64m", "-cp", System.getProperty("java.class.path"), "dunlinladder.lifecycle.Main",
+        ProcessBuilder builder = new ProcessBuilder(List.of(
+                "sh",
+                "-c",
+                "ulimit -n " + (descriptors + JARS) + " && exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dunlinladder.lifecycle.Main",
                 "serve",
-                "--state", String.valueOf(state)));
+                "--state",
+                String.valueOf(state)));
         builder.environment().putAll(environment);
-        builder.environment().putAll(Map.of("RELAY_LISTEN", "127.0.0.1:0", "RELAY_DISCOVERY",
-                discovery.address(), "RELAY_CONFIG", config.toString()));
+        builder.environment()
+                .putAll(Map.of(
+                        "RELAY_LISTEN",
+                        "127.0.0.1:0",
+                        "RELAY_DISCOVERY",
+                        discovery.address(),
+                        "RELAY_CONFIG",
+                        config.toString()));
         process = builder.redirectErrorStream(true).start();
         BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream()));
         port = portIn(log, " listens on ");
@@ -99,18 +112,24 @@
 
     /** Replaces the configuration's file. */
     void configure(String discoveryAddress, String settings) throws IOException {
-        Files.writeString(config, "{\"discovery\":\"" + discoveryAddress + "\","
-                + "\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"known\":{\"seq\":1,"
-                + "\"whole\":true,\"hosts\":[" + host(reader, "prompt", "active") + ","
-                + host(writers.get(0), "answer", "active") + "," + host(writers.get(1), "answer", "active")
-                + more.entrySet().stream().map(e -> "," + host(e.getKey(), e.getValue(), "active"))
-                        .collect(Collectors.joining())
-                + "]},\"limits\":{\"sockets\":" + descriptors + "},\"settings\":" + settings + "}");
+        Files.writeString(
+                config,
+                "{\"discovery\":\"" + discoveryAddress + "\","
+                        + "\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"known\":{\"seq\":1,"
+                        + "\"whole\":true,\"hosts\":[" + host(reader, "prompt", "active") + ","
+                        + host(writers.get(0), "answer", "active") + "," + host(writers.get(1), "answer", "active")
+                        + more.entrySet().stream()
+                                .map(e -> "," + host(e.getKey(), e.getValue(), "active"))
+                                .collect(Collectors.joining())
+                        + "]},\"limits\":{\"sockets\":" + descriptors + "},\"settings\":" + settings + "}");
     }
 
     /** Sends a signal to the program. */
     void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).inheritIO().start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
     }
 
     private static int portIn(BufferedReader log, String mark) throws IOException {
@@ -144,9 +163,7 @@
 
     /** Sends a request in the platform's protocol. */
     Browser post(String id, String serviceClass, String timeout, String body) throws IOException {
-        return new Browser(port).send("POST", "/v1/chat/completions?trace=1", headers(id, serviceClass,
-                timeout),
-                body);
+        return new Browser(port).send("POST", "/v1/chat/completions?trace=1", headers(id, serviceClass, timeout), body);
     }
 
     static String headers(String id, String serviceClass, String timeout) {
--- a/src/test/java/dunlinladder/it/StandIn.java
+++ b/src/test/java/dunlinladder/it/StandIn.java
@@ -17,17 +17,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A server on loopback that stands in for an engine or for discovery. What an engine's answer is like goes
- * by a word in the request's body.
+ * A server on loopback that stands in for an engine or for discovery. What an engine's answer is like goes by a word in
+ * the request's body.
  */
 final class StandIn implements AutoCloseable {
 
     /** One request as it came. */
-    record Seen(String method, String target, Map<String, String> headers, String body, long at) { }
+    record Seen(String method, String target, Map<String, String> headers, String body, long at) {}
 
     final List<Seen> seen = new CopyOnWriteArrayList<>();
     /** How many exchanges found their gateway's side closed. */
     final List<String> abandoned = new CopyOnWriteArrayList<>();
+
     volatile boolean firstSeen;
     /** How many events of a stream "in steps" the client has seen: the next one is written then. */
     volatile int eventsSeen;
@@ -35,11 +36,12 @@
     volatile boolean silent;
     /** What the paths that it knows begin with. */
     volatile String speaks = "/v1/";
+
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final String role;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private static final String STREAM = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\n";
+    private static final String STREAM =
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + "Transfer-Encoding: chunked\r\n\r\n";
     private final List<String> news = new CopyOnWriteArrayList<>();
 
     StandIn(String role) throws IOException {
@@ -86,7 +88,8 @@
     }
 
     long count(String method, String word) {
-        return seen.stream().filter(s -> s.method.equals(method) && (s.body + s.target).contains(word))
+        return seen.stream()
+                .filter(s -> s.method.equals(method) && (s.body + s.target).contains(word))
                 .count();
     }
 
@@ -97,8 +100,9 @@
             boolean fresh = true;
             for (String first = Wire.line(in); first != null; first = Wire.line(in)) {
                 Map<String, String> headers = Wire.headers(in);
-                String body = new String(in.readNBytes(Integer.parseInt(
-                        headers.getOrDefault("content-length", "0"))), StandardCharsets.UTF_8);
+                String body = new String(
+                        in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))),
+                        StandardCharsets.UTF_8);
                 String[] words = first.split(" ");
                 if (body.contains("stale") && !fresh) {
                     return;
@@ -138,8 +142,7 @@
                     send(out, "HTTP/1.1 202 Read\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}");
                 } else if (body.contains("[reply ")) {
                     replay(out, body.replaceAll("(?s).*\\[reply ([a-z-]+)].*", "$1"));
-                } else if (words[1].startsWith("/v1/responses")
-                        ? !typedEvents(out, body) : !stream(in, out, body)) {
+                } else if (words[1].startsWith("/v1/responses") ? !typedEvents(out, body) : !stream(in, out, body)) {
                     return;
                 }
             }
@@ -151,8 +154,10 @@
         for (int i = 0; body.contains("interim") && i < 3; i++) {
             send(out, "HTTP/1.1 103 Early\r\nX: y\r\n\r\n");
         }
-        send(out, "HTTP/1.1 200 OK\r\nX-Server-Load: queue=NaN\r\nContent-Type: text/event-stream\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n");
+        send(
+                out,
+                "HTTP/1.1 200 OK\r\nX-Server-Load: queue=NaN\r\nContent-Type: text/event-stream\r\n"
+                        + "Transfer-Encoding: chunked\r\n\r\n");
         if (body.contains("spoilt opening")) {
             chunk(out, "\u0001\u0002 noise\n\n");
             awaitClose(in, body);
@@ -160,8 +165,13 @@
         }
         chunk(out, delta("one", "null"));
         if (body.contains("spoilt ")) {
-            send(out, body.contains("size") ? "zz\r\n" : body.contains("huge") ? "C0000000\r\n"
-                    + "data: {}\n\n" : body.contains("fit") ? "5\r\n" + delta("two", "null") : "");
+            send(
+                    out,
+                    body.contains("size")
+                            ? "zz\r\n"
+                            : body.contains("huge")
+                                    ? "C0000000\r\n" + "data: {}\n\n"
+                                    : body.contains("fit") ? "5\r\n" + delta("two", "null") : "");
             awaitClose(in, body);
             return false;
         }
@@ -186,10 +196,17 @@
         if (body.contains("cut")) {
             return false;
         }
-        chunk(out, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
-                + (body.contains("unclosed") ? "" : "data: [DONE]\n\n"));
-        send(out, "0\r\n\r\n" + (body.contains("twice") ? "HTTP/1.1 200 OK\r\nContent-Length: "
-                + delta("stale", "null").length() + "\r\n\r\n" + delta("stale", "null") : ""));
+        chunk(
+                out,
+                "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
+                        + (body.contains("unclosed") ? "" : "data: [DONE]\n\n"));
+        send(
+                out,
+                "0\r\n\r\n"
+                        + (body.contains("twice")
+                                ? "HTTP/1.1 200 OK\r\nContent-Length: "
+                                        + delta("stale", "null").length() + "\r\n\r\n" + delta("stale", "null")
+                                : ""));
         return true;
     }
 
@@ -205,9 +222,8 @@
     }
 
     /**
-     * Streams a recorded answer in the format of items and typed events; {@code broken after N} in the
-     * request ends it there, {@code failing} has it fail in its midst. False when the connection is to be
-     * closed.
+     * Streams a recorded answer in the format of items and typed events; {@code broken after N} in the request ends it
+     * there, {@code failing} has it fail in its midst. False when the connection is to be closed.
      */
     private static boolean typedEvents(OutputStream out, String body) throws IOException {
         String recorded;
@@ -217,12 +233,15 @@
         send(out, STREAM);
         String[] events = recorded.split("(?<=\n\n)");
         int broken = body.matches("(?s).*broken after \\d+.*")
-                ? Integer.parseInt(body.replaceAll("(?s).*broken after (\\d+).*", "$1")) : events.length;
+                ? Integer.parseInt(body.replaceAll("(?s).*broken after (\\d+).*", "$1"))
+                : events.length;
         for (int i = 0; i < broken; i++) {
             if (body.contains("failing") && i == 5) {
-                chunk(out, "event: response.failed\ndata: {\"type\":\"response.failed\",\"response\":"
-                        + "{\"status\":\"failed\",\"error\":{\"code\":\"server_error\",\"message\":"
-                        + "\"inner host\"}}}\n\n");
+                chunk(
+                        out,
+                        "event: response.failed\ndata: {\"type\":\"response.failed\",\"response\":"
+                                + "{\"status\":\"failed\",\"error\":{\"code\":\"server_error\",\"message\":"
+                                + "\"inner host\"}}}\n\n");
                 break;
             }
             chunk(out, events[i]);
@@ -244,8 +263,8 @@
     }
 
     static String delta(String text, String reason) {
-        return "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + text + "\"},\"finish_reason\":"
-                + reason + "}]}\n\n";
+        return "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + text + "\"},\"finish_reason\":" + reason
+                + "}]}\n\n";
     }
 
     private void watch(OutputStream out, long since) throws IOException, InterruptedException {
@@ -254,7 +273,7 @@
         }
         send(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int looks = 0;
-        for (int told = 0;; Thread.sleep(1)) {
+        for (int told = 0; ; Thread.sleep(1)) {
             if (++looks % 500 == 0) {
                 // As long as nothing changes an empty line shows that discovery is there.
                 chunk(out, "\n");
@@ -294,8 +313,7 @@
 
     /** Reading HTTP by hand, so that a test sees every byte. */
     static final class Wire {
-        private Wire() {
-        }
+        private Wire() {}
 
         static String line(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
@@ -311,8 +329,9 @@
         static Map<String, String> headers(InputStream in) throws IOException {
             Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
-                headers.put(line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 1)
-                        .trim());
+                headers.put(
+                        line.substring(0, line.indexOf(':')),
+                        line.substring(line.indexOf(':') + 1).trim());
             }
             return headers;
         }
@@ -333,9 +352,11 @@
         }
 
         Browser send(String method, String target, String headers, String body) throws IOException {
-            StandIn.send(socket.getOutputStream(), method + " " + target + " HTTP/1.1\r\nHost: x\r\n"
-                    + headers
-                    + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+            StandIn.send(
+                    socket.getOutputStream(),
+                    method + " " + target + " HTTP/1.1\r\nHost: x\r\n"
+                            + headers
+                            + "Content-Length: " + body.length() + "\r\n\r\n" + body);
             return this;
         }
 
@@ -354,8 +375,8 @@
         String body() throws IOException {
             InputStream in = socket.getInputStream();
             if (headers.containsKey("content-length")) {
-                return new String(in.readNBytes(Integer.parseInt(headers.get("content-length"))),
-                        StandardCharsets.UTF_8);
+                return new String(
+                        in.readNBytes(Integer.parseInt(headers.get("content-length"))), StandardCharsets.UTF_8);
             }
             StringBuilder body = new StringBuilder();
             for (String size = Wire.line(in); size != null; size = Wire.line(in)) {
--- a/src/test/java/dunlinladder/it/TogetherTest.java
+++ b/src/test/java/dunlinladder/it/TogetherTest.java
@@ -55,8 +55,8 @@
         }
         StandIn.until(() -> first.discovery.seen.size() >= gateways.size());
         StandIn drains = first.writers.get(0);
-        first.discovery.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
-                + Running.host(drains, "answer", "leaving") + "]}");
+        first.discovery.tell(
+                "{\"seq\":2,\"whole\":false,\"hosts\":[" + Running.host(drains, "answer", "leaving") + "]}");
         long latest = System.nanoTime() + 1_000_000_000L;
         int served = 0;
         while (System.nanoTime() < latest + 500_000_000L) {
@@ -66,14 +66,14 @@
         }
         assertTrue(served > 0);
         assertEquals(served, first.atWriters("POST", "after"));
-        assertEquals(0, drains.seen.stream().filter(s -> s.method().equals("POST") && s.at() > latest)
-                .count());
+        assertEquals(
+                0,
+                drains.seen.stream()
+                        .filter(s -> s.method().equals("POST") && s.at() > latest)
+                        .count());
     }
 
-    /**
-     * Nine in ten processes that start together are ready within 10 s, all within the limit of this
-     * class.
-     */
+    /** Nine in ten processes that start together are ready within 10 s, all within the limit of this class. */
     @Test
     void nineInTenThatStartTogetherAreReadyInTime() throws Exception {
         List<Future<Double>> starts = new ArrayList<>();
@@ -113,8 +113,11 @@
         assertEquals(200, ask(gateways.get(2), "during"));
         assertFalse(reading.head(), "its connection is reset");
         assertTrue(streaming.body().endsWith("(cut)"));
-        StandIn.until(() -> first.reader.abandoned.size() + first.writers.stream()
-                .mapToInt(w -> w.abandoned.size()).sum() == 2);
+        StandIn.until(() -> first.reader.abandoned.size()
+                        + first.writers.stream()
+                                .mapToInt(w -> w.abandoned.size())
+                                .sum()
+                == 2);
         assertEquals(1, first.reader.count("POST", "hang-reader"), "nobody sends it again");
         gateways.set(1, first.beside());
         assertEquals(200, ask(gateways.get(1), "again"));
--- a/src/test/java/dunlinladder/lifecycle/ConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/ConfigTest.java
@@ -57,13 +57,20 @@
         assertEquals(List.of(4.0, 10.0), config.deadlines());
         assertEquals(1, config.limits().retryAfterSeconds());
         Config unzoned = read(FILE.replace("[\"a\",\"b\"]", "[]").replace("\"zone\":1", "\"zone\":0"));
-        assertEquals(0, new HostReader(unzoned.zones(), unzoned.kinds()).read(unzoned.known(), true).engines()
-                .get(0).zone());
-        Json settings = Json.parse(FILE.replace("\"seed\"", "\"later\":1,\"seed\"")
-                .replace("\"cold-from\"", "\"warm\":1,\"cold-from\"")
-                .replace("\"objective\":1", "\"objective\":1,\"odd\":2"), "c").child("settings");
-        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"),
-                SettingsReader.unknown(settings));
+        assertEquals(
+                0,
+                new HostReader(unzoned.zones(), unzoned.kinds())
+                        .read(unzoned.known(), true)
+                        .engines()
+                        .get(0)
+                        .zone());
+        Json settings = Json.parse(
+                        FILE.replace("\"seed\"", "\"later\":1,\"seed\"")
+                                .replace("\"cold-from\"", "\"warm\":1,\"cold-from\"")
+                                .replace("\"objective\":1", "\"objective\":1,\"odd\":2"),
+                        "c")
+                .child("settings");
+        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"), SettingsReader.unknown(settings));
     }
 
     /** The decisions see no name of a class, tenant, zone or kind: the same settings, and the same list. */
@@ -71,48 +78,73 @@
     void namesChangeNothingThatDecides() throws IOException {
         String renamed = FILE.replace("[\"a\",\"b\"]", "[\"b\",\"\u4e16\"]")
                 .replace("\"site\":\"a\"", "\"site\":\"b\"")
-                .replace("\"one\"", "\"read\"").replace("\"two\"", "\"one\"").replace("\"x\"", "\"y y\"")
-                .replace("\"name\":\"y\"", "\"name\":\"x\"").replace("\"t\"", "\"a\"");
+                .replace("\"one\"", "\"read\"")
+                .replace("\"two\"", "\"one\"")
+                .replace("\"x\"", "\"y y\"")
+                .replace("\"name\":\"y\"", "\"name\":\"x\"")
+                .replace("\"t\"", "\"a\"");
         Config first = read(FILE);
         Config second = read(renamed);
         assertEquals(first.settings(), second.settings());
-        assertEquals(new HostReader(first.zones(), first.kinds()).read(first.known(), true),
+        assertEquals(
+                new HostReader(first.zones(), first.kinds()).read(first.known(), true),
                 new HostReader(second.zones(), second.kinds()).read(second.known(), true));
         assertEquals(List.of("y y", "x"), second.classes());
     }
 
     /** What is first gives way to what is second; the message names what is third. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "\"settings\":|\"sittings\":|settings", "\"zones\":[\"a\",\"b\"],||zones",
-        "\"zones\":[\"a\",\"b\"]|\"zones\":[\"a\",\"a\"]|zones",
-        "\"zones\":[\"a\",\"b\"]|\"zones\":[1,2]|zones",
-        "\"zone\":1|\"zone\":2|zone", "\"zone\":1|\"zone\":0.5|zone", "\"zone\":1|\"zone\":\"b\"|zone",
-        "\"balancers\":3|\"balancers\":0|balancers", "\"me\":2|\"me\":3|me",
-        "\"balancers\":3|\"balancers\":1e300|balancers", "\"kinds\":[\"one\",\"two\"]|\"kinds\":[]|kinds",
-        "[\"read\",\"both\"]|[\"read\"]|role-by-kind",
-        "[\"read\",\"both\"]|[\"read\",\"all\"]|role-by-kind",
-        "\"role-by-kind\":[\"read\",\"both\"],||role-by-kind", "[1000,2000]|[1000,-1]|kv-tokens",
-        "[1000,2000]|[1000,2000,3000]|kv-tokens", "\"objective\":1|\"objective\":0|classes[1]",
-        "\"objective\":1|\"worth\":1|objective", "\"objective\":1|\"objective\":[1]|objective",
-        "\"name\":\"y\"|\"name\":\"x\"|classes", "\"name\":\"y\"|\"name\":7|classes[1]",
-        "\"deadline\":4|\"deadline\":-4|deadline",
-        "\"semantics\":\"keyed\"|\"semantics\":\"maybe\"|semantics",
-        "\"group\":\"zone\"|\"group\":\"hall\"|group", "\"late-worth\":0.2|\"late-worth\":2|late-worth",
-        "\"quota-per-s\":5|\"quota-per-s\":-5|quota-per-s", "\"name\":\"t\"|\"tame\":\"t\"|projects[0]",
-        "\"cold-from\":0.3|\"cold-from\":-1|cold-from", "\"cold-from\":0.3|\"cold-from\":1.5|cold-from",
-        "\"fall-multiple\":3|\"fall-multiple\":-3|fall-multiple", "\"cold\":9|\"cold\":true|cold",
-        "\"release-within\":0.5|\"release-within\":-1|release-within",
-        "\"max-attempts\":4|\"max-attempts\":0|max-attempts", "\"keepalive\":30|\"keepalive\":0|keepalive",
-        "\"most-held\":500|\"most-held\":0|most-held", "\"pushed\"|\"pulled\"|membership-mode",
-        "\"memory_mb\":160|\"memory_mb\":8|memory_mb", "\"sockets\":1024|\"sockets\":9|sockets",
-        "\"seed\":\"7f\"|\"seed\":\"xx\"|seed", "127.0.0.1:9\",\"seed|nowhere\",\"seed|discovery",
-        "\"site\":\"a\"|\"site\":\"q\"|site q", "\"health\":\"active\"|\"health\":\"well\"|health",
-        "{\"listen\"|[{\"listen\"|not a JSON object"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "\"settings\":|\"sittings\":|settings",
+                "\"zones\":[\"a\",\"b\"],||zones",
+                "\"zones\":[\"a\",\"b\"]|\"zones\":[\"a\",\"a\"]|zones",
+                "\"zones\":[\"a\",\"b\"]|\"zones\":[1,2]|zones",
+                "\"zone\":1|\"zone\":2|zone",
+                "\"zone\":1|\"zone\":0.5|zone",
+                "\"zone\":1|\"zone\":\"b\"|zone",
+                "\"balancers\":3|\"balancers\":0|balancers",
+                "\"me\":2|\"me\":3|me",
+                "\"balancers\":3|\"balancers\":1e300|balancers",
+                "\"kinds\":[\"one\",\"two\"]|\"kinds\":[]|kinds",
+                "[\"read\",\"both\"]|[\"read\"]|role-by-kind",
+                "[\"read\",\"both\"]|[\"read\",\"all\"]|role-by-kind",
+                "\"role-by-kind\":[\"read\",\"both\"],||role-by-kind",
+                "[1000,2000]|[1000,-1]|kv-tokens",
+                "[1000,2000]|[1000,2000,3000]|kv-tokens",
+                "\"objective\":1|\"objective\":0|classes[1]",
+                "\"objective\":1|\"worth\":1|objective",
+                "\"objective\":1|\"objective\":[1]|objective",
+                "\"name\":\"y\"|\"name\":\"x\"|classes",
+                "\"name\":\"y\"|\"name\":7|classes[1]",
+                "\"deadline\":4|\"deadline\":-4|deadline",
+                "\"semantics\":\"keyed\"|\"semantics\":\"maybe\"|semantics",
+                "\"group\":\"zone\"|\"group\":\"hall\"|group",
+                "\"late-worth\":0.2|\"late-worth\":2|late-worth",
+                "\"quota-per-s\":5|\"quota-per-s\":-5|quota-per-s",
+                "\"name\":\"t\"|\"tame\":\"t\"|projects[0]",
+                "\"cold-from\":0.3|\"cold-from\":-1|cold-from",
+                "\"cold-from\":0.3|\"cold-from\":1.5|cold-from",
+                "\"fall-multiple\":3|\"fall-multiple\":-3|fall-multiple",
+                "\"cold\":9|\"cold\":true|cold",
+                "\"release-within\":0.5|\"release-within\":-1|release-within",
+                "\"max-attempts\":4|\"max-attempts\":0|max-attempts",
+                "\"keepalive\":30|\"keepalive\":0|keepalive",
+                "\"most-held\":500|\"most-held\":0|most-held",
+                "\"pushed\"|\"pulled\"|membership-mode",
+                "\"memory_mb\":160|\"memory_mb\":8|memory_mb",
+                "\"sockets\":1024|\"sockets\":9|sockets",
+                "\"seed\":\"7f\"|\"seed\":\"xx\"|seed",
+                "127.0.0.1:9\",\"seed|nowhere\",\"seed|discovery",
+                "\"site\":\"a\"|\"site\":\"q\"|site q",
+                "\"health\":\"active\"|\"health\":\"well\"|health",
+                "{\"listen\"|[{\"listen\"|not a JSON object"
+            })
     void whatIsWrongIsNamed(String part, String instead, String named) throws IOException {
         assertTrue(FILE.contains(part), part);
-        String text = FILE.replaceFirst(Pattern.quote(part),
-                Matcher.quoteReplacement(instead == null ? "" : instead));
+        String text = FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead == null ? "" : instead));
         BadInput error = assertThrows(BadInput.class, () -> new Gateway(read(text), null));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
@@ -121,8 +153,15 @@
     /** Text that a header can carry: visible characters, with single spaces inside. */
     @Provide
     Arbitrary<List<String>> names() {
-        return Arbitraries.strings().withCharRange('!', '~').withChars('\u00e9', '\u4e16').ofMinLength(1)
-                .ofMaxLength(12).list().uniqueElements().ofMinSize(1).ofMaxSize(9);
+        return Arbitraries.strings()
+                .withCharRange('!', '~')
+                .withChars('\u00e9', '\u4e16')
+                .ofMinLength(1)
+                .ofMaxLength(12)
+                .list()
+                .uniqueElements()
+                .ofMinSize(1)
+                .ofMaxSize(9);
     }
 
     private static String quoted(String name) {
@@ -135,17 +174,28 @@
 
     /** Whatever the names and however many, a gateway starts from the settings and says that it is up. */
     @Property(tries = 8)
-    void drawnSettingsServe(@ForAll("names") List<String> classes, @ForAll("names") List<String> tenants,
-            @ForAll("names") List<String> zones, @ForAll("names") List<String> kinds,
-            @ForAll @IntRange(min = 1, max = 200) int gateways, @ForAll boolean pushed) throws Exception {
-        String roles = list(kinds.stream().map(k -> List.of("read", "write", "both")
-                .get(Math.floorMod(k.hashCode(), 3))).toList());
+    void drawnSettingsServe(
+            @ForAll("names") List<String> classes,
+            @ForAll("names") List<String> tenants,
+            @ForAll("names") List<String> zones,
+            @ForAll("names") List<String> kinds,
+            @ForAll @IntRange(min = 1, max = 200) int gateways,
+            @ForAll boolean pushed)
+            throws Exception {
+        String roles = list(kinds.stream()
+                .map(k -> List.of("read", "write", "both").get(Math.floorMod(k.hashCode(), 3)))
+                .toList());
         String text = "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"settings\":{\"balancers\":"
                 + gateways + ",\"zone\":" + (zones.size() - 1) + ",\"zones\":" + list(zones) + ",\"kinds\":"
                 + list(kinds) + ",\"membership-mode\":\"" + (pushed ? "pushed" : "on_request")
-                + "\",\"classes\":" + classes.stream().map(name -> "{\"name\":" + quoted(name)
-                        + ",\"objective\":" + name.length() / 3.0 + "}").toList()
-                + ",\"projects\":" + tenants.stream().map(name -> "{\"name\":" + quoted(name) + "}").toList()
+                + "\",\"classes\":"
+                + classes.stream()
+                        .map(name -> "{\"name\":" + quoted(name) + ",\"objective\":" + name.length() / 3.0 + "}")
+                        .toList()
+                + ",\"projects\":"
+                + tenants.stream()
+                        .map(name -> "{\"name\":" + quoted(name) + "}")
+                        .toList()
                 + ",\"family-info\":{\"role-by-kind\":" + roles + "}}}";
         Config config = Config.read(Json.parse(text), Map.of());
         assertEquals(classes, config.classes());
@@ -153,10 +203,8 @@
         Gateway gateway = new Gateway(config, null);
         try (Socket client = new Socket()) {
             client.connect(new InetSocketAddress("127.0.0.1", gateway.start()));
-            client.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 200", new String(client.getInputStream().readNBytes(12),
-                    StandardCharsets.US_ASCII));
+            client.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            assertEquals("HTTP/1.1 200", new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
         } finally {
             gateway.stop();
         }
--- a/src/test/java/dunlinladder/lifecycle/GenerationsTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GenerationsTest.java
@@ -55,52 +55,71 @@
     void aGoodFileIsReadInFull() {
         Map<String, String> flat = Operator.read(GOOD);
         List<Generation> generations = Generations.read(flat, List.of("prompt", "answer"), List.of("a", "b"));
-        assertEquals(List.of("old", "new"), generations.stream().map(Generation::name).toList());
+        assertEquals(
+                List.of("old", "new"),
+                generations.stream().map(Generation::name).toList());
         assertEquals(Format.RESPONSES, generations.get(1).format());
         assertEquals(Set.of(0, 1), generations.get(1).kinds());
         assertEquals(Set.of(1), generations.get(1).zones());
         assertEquals("box-.*", generations.get(1).ids().pattern());
-        assertEquals(new Move("old", "new", List.of(new Move.Stage(0.1, 0.5, 30), new Move.Stage(1, 1, 60)),
-                new Move.Stop(0.1, 0.05, 2, 50, false), 5), Generations.move(flat, generations));
+        assertEquals(
+                new Move(
+                        "old",
+                        "new",
+                        List.of(new Move.Stage(0.1, 0.5, 30), new Move.Stage(1, 1, 60)),
+                        new Move.Stop(0.1, 0.05, 2, 50, false),
+                        5),
+                Generations.move(flat, generations));
     }
 
     @Test
     void withoutGenerationsAllEnginesSpeakChat() {
         List<Generation> generations = Generations.read(Map.of(), List.of(), List.of());
-        assertEquals(List.of(Format.CHAT), generations.stream().map(Generation::format).toList());
+        assertEquals(
+                List.of(Format.CHAT),
+                generations.stream().map(Generation::format).toList());
         assertNull(Generations.move(Map.of(), generations));
     }
 
     /** Each fault names its key; the first part of the file that fits is changed. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"format = \"chat\" | format = \"chess\" | generations.old.format",
-        "format = \"chat\" | order = 2 | generations.old.format",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "format = \"chat\" | format = \"chess\" | generations.old.format",
+                "format = \"chat\" | order = 2 | generations.old.format",
                 "order = 1 | order = \"first\" | generations.new.order",
-        "order = 1 | colour = 1 | generations.new.colour",
+                "order = 1 | colour = 1 | generations.new.colour",
                 "ids = \"box-.*\" | ids = \"box-(\" | generations.new.ids",
-        "kinds = [\"prompt\", \"answer\"] | kinds = \"prompt\" | generations.new.kinds",
-        "from = \"old\" | from = \"older\" | move.from", "from = \"old\" | from = \"new\" | move.to",
-        "to = \"new\" | to = \"newer\" | move.to", "ramp_seconds = 5 | ramp_seconds = 0 | move.ramp_seconds",
-        "engines = 0.1 | engines = 1.1 | move.stages.1.engines", "engines = 1 | engines = 0.05 | move.stages",
-        "shops = 0.5 | shops = -1 | move.stages.1.shops",
+                "kinds = [\"prompt\", \"answer\"] | kinds = \"prompt\" | generations.new.kinds",
+                "from = \"old\" | from = \"older\" | move.from",
+                "from = \"old\" | from = \"new\" | move.to",
+                "to = \"new\" | to = \"newer\" | move.to",
+                "ramp_seconds = 5 | ramp_seconds = 0 | move.ramp_seconds",
+                "engines = 0.1 | engines = 1.1 | move.stages.1.engines",
+                "engines = 1 | engines = 0.05 | move.stages",
+                "shops = 0.5 | shops = -1 | move.stages.1.shops",
                 "hold_seconds = 30 | hold_seconds = 0 | hold_seconds",
-        "[move.stages.2] | [move.stages.3] | move.stages",
+                "[move.stages.2] | [move.stages.3] | move.stages",
                 "failed = 0.1 | failed = \"few\" | move.stop.failed",
-        "then = \"stop\" | then = \"wait\" | move.stop.then",
-        "unknown_fields = \"drop\" | unknown_fields = \"lose\" | unknown_fields"})
+                "then = \"stop\" | then = \"wait\" | move.stop.then",
+                "unknown_fields = \"drop\" | unknown_fields = \"lose\" | unknown_fields"
+            })
     void faultsAreNamed(String part, String instead, String named) {
         assertTrue(GOOD.contains(part), part);
-        BadInput error = assertThrows(BadInput.class, () -> Operator.read(GOOD.replaceFirst(
-                Pattern.quote(part), Matcher.quoteReplacement(instead))));
+        BadInput error = assertThrows(
+                BadInput.class,
+                () -> Operator.read(GOOD.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead))));
         assertTrue(error.getMessage().contains(named), error.getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"generations.new.kinds, [reader], reader", "generations.new.halls, [moon], moon"})
     void namesAreCheckedAgainstTheDeployment(String key, String value, String named) {
-        BadInput error = assertThrows(BadInput.class, () -> Generations.read(Map.of(
-                "generations.new.format", "chat", key, value), List.of("prompt"), List.of("a")));
-        assertTrue(error.getMessage().contains(key) && error.getMessage().contains(named),
-                error.getMessage());
+        BadInput error = assertThrows(
+                BadInput.class,
+                () -> Generations.read(
+                        Map.of("generations.new.format", "chat", key, value), List.of("prompt"), List.of("a")));
+        assertTrue(error.getMessage().contains(key) && error.getMessage().contains(named), error.getMessage());
     }
 }
--- a/src/test/java/dunlinladder/lifecycle/PlansTest.java
+++ b/src/test/java/dunlinladder/lifecycle/PlansTest.java
@@ -27,8 +27,10 @@
             models.find.class = "lookup"
             models.find.max_tokens = 300
             """;
+
     @TempDir
     private Path folder;
+
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
     private Path state;
     private Path file;
@@ -54,8 +56,10 @@
         Files.writeString(file, FILE.replace("300", "400").replace("CHAT_KEY", "NEW_KEY"));
         printed.reset();
         assertEquals(Plans.CHANGES, plans.plan(file, null));
-        assertEquals("- keys.CHAT_KEY.tenant = acme\n+ keys.NEW_KEY.tenant = acme\n"
-                + "~ models.find.max_tokens = 300 -> 400\n3 changes.\n", printed.toString());
+        assertEquals(
+                "- keys.CHAT_KEY.tenant = acme\n+ keys.NEW_KEY.tenant = acme\n"
+                        + "~ models.find.max_tokens = 300 -> 400\n3 changes.\n",
+                printed.toString());
     }
 
     @Test
@@ -66,16 +70,25 @@
         Files.writeString(file, FILE.replace("300", "400"));
         plans.plan(file, second.toString());
         plans.apply(second);
-        assertTrue(assertThrows(BadInput.class, () -> plans.apply(first)).getMessage().contains("stale"));
+        assertTrue(assertThrows(BadInput.class, () -> plans.apply(first))
+                .getMessage()
+                .contains("stale"));
         assertEquals("400", Plans.applied(state).settings().get("models.find.max_tokens"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"listen = \"127.0.0.1:8090\"|''|listen is missing", "8090|x|listen",
-        "CHAT_KEY|'\"a-b\"'|environment variable", "300|0|models.find.max_tokens",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "listen = \"127.0.0.1:8090\"|''|listen is missing",
+                "8090|x|listen",
+                "CHAT_KEY|'\"a-b\"'|environment variable",
+                "300|0|models.find.max_tokens",
                 "300|1.5|models.find.max_tokens",
-        "models.find.class|models.find.sort|unknown key models.find.sort", "300|= 1|not TOML",
-        "models.find.class = \"lookup\"|''|models.find.class is missing"})
+                "models.find.class|models.find.sort|unknown key models.find.sort",
+                "300|= 1|not TOML",
+                "models.find.class = \"lookup\"|''|models.find.class is missing"
+            })
     void faultsInTheFileNameTheirKey(String part, String instead, String named) throws Exception {
         Files.writeString(file, FILE.replace(part, instead));
         BadInput error = assertThrows(BadInput.class, () -> plans.apply(file));
@@ -84,17 +97,26 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"x|x|''", "127.0.0.1:1|here|listen",
-            "'deadline':4|'deadline':0|deadline",
-        "'keepalive':30|'keepalive':'long'|keepalive", "1024|10|limits.sockets", "'zones'|'zonen'|zones",
-        "'seed':'8c'|'seed':'xy'|seed", "'discovery'|'discover'|discovery",
-                "'kinds':['p']|'kinds':'p'|kinds"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "x|x|''",
+                "127.0.0.1:1|here|listen",
+                "'deadline':4|'deadline':0|deadline",
+                "'keepalive':30|'keepalive':'long'|keepalive",
+                "1024|10|limits.sockets",
+                "'zones'|'zonen'|zones",
+                "'seed':'8c'|'seed':'xy'|seed",
+                "'discovery'|'discover'|discovery",
+                "'kinds':['p']|'kinds':'p'|kinds"
+            })
     void faultsInTheConfigurationNameTheirKey(String part, String instead, String named) {
         String text = ("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:2','seed':'8c','limits':{'sockets'"
-                + ":1024},"
-                + "'settings':{'classes':[{'name':'c','objective':1,'deadline':4}],'zones':['a'],'kinds':"
+                        + ":1024},"
+                        + "'settings':{'classes':[{'name':'c','objective':1,'deadline':4}],'zones':['a'],'kinds':"
                         + "['p'],"
-                + "'caps':{'keepalive':30},'family-info':{'role-by-kind':['both']}}}").replace(part, instead);
+                        + "'caps':{'keepalive':30},'family-info':{'role-by-kind':['both']}}}")
+                .replace(part, instead);
         Json json = Json.parse(text.replace('\'', '"'));
         if (named.isEmpty()) {
             assertEquals(10, Config.read(json, Map.of()).limits().idleSeconds());
--- a/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
+++ b/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
@@ -26,11 +26,14 @@
     private Path folder;
 
     @ParameterizedTest
-    @CsvSource({"'{\"limits\":{\"memory_mb\":160}}', 48",
+    @CsvSource({
+        "'{\"limits\":{\"memory_mb\":160}}', 48",
         "'{\"limits\": {\"cores\": 1.0,\n \"memory_mb\" : 192}}', 57",
         "'{\"limits\":{\"memory_mb\":32}}', 16",
         "'{\"known\":{\"hosts\":[{\"host\":\"*\"}]},\"limits\":{\"sockets\":512,\"memory_mb\":\t96 }}', 28",
-        "'{}', 48", "'{\"limits\":{\"memory_mb\":4096}}', 256"})
+        "'{}', 48",
+        "'{\"limits\":{\"memory_mb\":4096}}', 256"
+    })
     void heapFollowsMemory(String configuration, int heap) throws Exception {
         Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
@@ -48,21 +51,25 @@
     /** The platform refuses to fork: with nothing but the shell and Java a gateway still answers. */
     @Test
     void startsWithNoOtherProgram() throws Exception {
-        Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\n"
-                + "while [ \"$1\" != -jar ]; do\n    options=\"$options $1\"\n    shift\ndone\nshift 2\nexec "
-                + System.getProperty("java.home") + "/bin/java $options -cp "
-                + System.getProperty("java.class.path")
-                + " dunlinladder.lifecycle.Main \"$@\"\n");
+        Path java = Files.writeString(
+                folder.resolve("java"),
+                "#!/bin/sh\n"
+                        + "while [ \"$1\" != -jar ]; do\n    options=\"$options $1\"\n    shift\ndone\nshift 2\nexec "
+                        + System.getProperty("java.home") + "/bin/java $options -cp "
+                        + System.getProperty("java.class.path")
+                        + " dunlinladder.lifecycle.Main \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
-        Path config = Files.writeString(folder.resolve("config.json"), "{\"name\":\"n\",\"listen\":"
-                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":160},"
-                + "\"settings\":" + Sample.SETTINGS + "}");
+        Path config = Files.writeString(
+                folder.resolve("config.json"),
+                "{\"name\":\"n\",\"listen\":"
+                        + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":160},"
+                        + "\"settings\":" + Sample.SETTINGS + "}");
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "deploy/run.sh").redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", config.toString());
         builder.environment().put("PATH", folder.toString());
         Process process = builder.start();
-        try (BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader log =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             StringBuilder said = new StringBuilder();
             Matcher port = LISTENS.matcher("");
             for (String line = log.readLine(); line != null && !port.find(); line = log.readLine()) {
--- a/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
+++ b/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
@@ -18,9 +18,9 @@
 import net.jqwik.api.constraints.DoubleRange;
 
 /**
- * From the moment at which discovery has a change and can be reached, that change is taken in within the
- * protocol's bound, whatever became of the calls before: failed, refused, slow, silent, or a watch that fell
- * silent, in any order. Virtual time; docs/membership.md sums the bound.
+ * From the moment at which discovery has a change and can be reached, that change is taken in within the protocol's
+ * bound, whatever became of the calls before: failed, refused, slow, silent, or a watch that fell silent, in any order.
+ * Virtual time; docs/membership.md sums the bound.
  */
 class ChangeInTimeTest {
 
@@ -28,9 +28,10 @@
     private static final double ASKED_WITHIN = 5;
     /** Of the rule's time a quarter is left for the same. */
     private static final double PUSHED_SHARE = 0.75;
+
     private static final News CHANGE = new News(42, Decider.Scope.CHANGES, List.of());
 
-    private record Due(double at, long number, Event event) { }
+    private record Due(double at, long number, Event event) {}
 
     private Random random;
     private Following state;
@@ -108,8 +109,8 @@
     }
 
     @Property(tries = 4000, seed = "33", shrinking = ShrinkingMode.OFF)
-    void aChangeIsTakenInWithinTheBound(@ForAll long seed, @ForAll boolean pushed,
-            @ForAll @DoubleRange(min = 0.3, max = 2) double stop) {
+    void aChangeIsTakenInWithinTheBound(
+            @ForAll long seed, @ForAll boolean pushed, @ForAll @DoubleRange(min = 0.3, max = 2) double stop) {
         random = new Random(seed);
         Timing timing = Timing.of(pushed, stop);
         state = Following.from(timing, 41, seed);
@@ -137,14 +138,17 @@
             }
         }
         // What is told by a watch that still stands ends with it; of calls that are out no answer comes.
-        queue.removeIf(due -> !(due.event instanceof Event.Told || due.event instanceof Event.Move
+        queue.removeIf(due -> !(due.event instanceof Event.Told
+                || due.event instanceof Event.Move
                 || due.event instanceof Event.Ended));
         mayLoseOne = !waits && !pushed;
         double within = pushed && !watched ? PUSHED_SHARE * stop : ASKED_WITHIN;
         play(changedAt + 60);
         assertEquals(42, state.version());
-        assertTrue(takenAt - changedAt <= within + 0.01, "taken in " + (takenAt - changedAt)
-                + " s late, at most " + within + "; watched " + watched + ", waits " + waits + ", links "
-                + state.links());
+        assertTrue(
+                takenAt - changedAt <= within + 0.01,
+                "taken in " + (takenAt - changedAt)
+                        + " s late, at most " + within + "; watched " + watched + ", waits " + waits + ", links "
+                        + state.links());
     }
 }
--- a/src/test/java/dunlinladder/membership/FollowingTest.java
+++ b/src/test/java/dunlinladder/membership/FollowingTest.java
@@ -19,8 +19,7 @@
 /** The state machine that follows the list, step by step and against a discovery that does anything. */
 class FollowingTest {
 
-    private static final Timing TIMING = new Timing(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3,
-            false);
+    private static final Timing TIMING = new Timing(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
 
     private final List<Command> done = new ArrayList<>();
     private Following state = Following.from(TIMING, 41, 7);
@@ -56,9 +55,12 @@
     }
 
     private static News news(long version, Decider.Scope scope, String... engines) {
-        return new News(version, scope, List.of(engines).stream().map(e -> new Engine(e.split("=")[0], "", 0,
-                0,
-                0, Engine.State.valueOf(e.split("=")[1]), 1, 0)).toList());
+        return new News(
+                version,
+                scope,
+                List.of(engines).stream()
+                        .map(e -> new Engine(e.split("=")[0], "", 0, 0, 0, Engine.State.valueOf(e.split("=")[1]), 1, 0))
+                        .toList());
     }
 
     private void assertDone(Command... expected) {
@@ -226,8 +228,7 @@
         state = Following.from(TIMING, 41, seed);
         on(new Event.Move("a:1"));
         while (now < 60) {
-            state.links().stream().filter(link -> !link.up())
-                    .forEach(link -> on(new Event.Connected(link.id())));
+            state.links().stream().filter(link -> !link.up()).forEach(link -> on(new Event.Connected(link.id())));
             pass(0.05);
             assertFalse(state.links().isEmpty(), "none at " + now);
         }
@@ -240,7 +241,8 @@
         on(new Event.Told(waited, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         pass(1);
-        assertEquals(List.of(waited), state.links().stream().map(Following.Link::id).toList());
+        assertEquals(
+                List.of(waited), state.links().stream().map(Following.Link::id).toList());
     }
 
     @Test
@@ -282,8 +284,8 @@
     }
 
     /**
-     * Fourteen gateways start at once before a discovery that can take up two calls a second and lets others
-     * wait for two seconds at most. With calls raced and asked again in step none was ever answered.
+     * Fourteen gateways start at once before a discovery that can take up two calls a second and lets others wait for
+     * two seconds at most. With calls raced and asked again in step none was ever answered.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -303,8 +305,12 @@
                 double[] call = queue.remove(0);
                 boolean late = at - call[2] > 2;
                 free = late ? free : at + 0.5;
-                overbooked(fleet, queue, (int) call[0], late ? new Event.Ended((int) call[1])
-                        : new Event.Answered((int) call[1]), at);
+                overbooked(
+                        fleet,
+                        queue,
+                        (int) call[0],
+                        late ? new Event.Ended((int) call[1]) : new Event.Answered((int) call[1]),
+                        at);
                 overbooked(fleet, queue, (int) call[0], new Event.Beat((int) call[1]), at);
             }
             for (int g = 0; g < fleet.size(); g++) {
@@ -318,8 +324,7 @@
         assertTrue(fleet.stream().allMatch(f -> f.links().stream().anyMatch(Following.Link::answered)));
     }
 
-    private static void overbooked(List<Following> fleet, List<double[]> queue, int g, Event event,
-            double at) {
+    private static void overbooked(List<Following> fleet, List<double[]> queue, int g, Event event, double at) {
         Following.Next next = fleet.get(g).on(event, at);
         fleet.set(g, next.state());
         for (Command command : next.commands()) {
@@ -331,8 +336,8 @@
     }
 
     /**
-     * Discovery drops, hangs, refuses, moves, repeats and reorders links at random; its list only grows. What
-     * is taken in never goes backwards, and once discovery behaves again the list is up to date.
+     * Discovery drops, hangs, refuses, moves, repeats and reorders links at random; its list only grows. What is taken
+     * in never goes backwards, and once discovery behaves again the list is up to date.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -383,15 +388,18 @@
                 }
             }
             done.clear();
-            assertTrue(state.links().stream().filter(l -> l.address().equals(state.address())).count() <= 3);
+            assertTrue(state.links().stream()
+                            .filter(l -> l.address().equals(state.address()))
+                            .count()
+                    <= 3);
         }
         // From here on whatever link is opened answers and tells all that it has.
         for (int i = 0; i < 100 && held < latest; i++) {
             pass(0.5);
             for (Following.Link open : state.links()) {
                 on(new Event.Answered(open.id()));
-                on(new Event.Told(open.id(), open.asked() == 0 ? whole(latest, "all=LEAVING")
-                        : changes(latest, "all=LEAVING")));
+                on(new Event.Told(
+                        open.id(), open.asked() == 0 ? whole(latest, "all=LEAVING") : changes(latest, "all=LEAVING")));
             }
             held = state.version();
         }
--- a/src/test/java/dunlinladder/wire/ClientConnectionTest.java
+++ b/src/test/java/dunlinladder/wire/ClientConnectionTest.java
@@ -17,23 +17,21 @@
 /** A close that another thread decides while a request's head comes. */
 class ClientConnectionTest {
 
-    private static final Limits LIMITS = new Limits(1024, 1024, 16384, 16384, 16384, 16, 4096, 10, 10, 10, 5,
-            10,
-            0.02, 30, 4, 0.15, 4, 0.02, 1, 2.5, 0.04, 10, 0.1, 0.6, 0.05, 0.25);
+    private static final Limits LIMITS = new Limits(
+            1024, 1024, 16384, 16384, 16384, 16, 4096, 10, 10, 10, 5, 10, 0.02, 30, 4, 0.15, 4, 0.02, 1, 2.5, 0.04, 10,
+            0.1, 0.6, 0.05, 0.25);
     private static final String HEAD = "POST /v1 HTTP/1.1\nHost: x\nContent-Length: 4\n\n";
 
     private final List<String> done = new ArrayList<>();
     private final Input buffer = new Input();
     private final ProtocolIOSession session = (ProtocolIOSession) Proxy.newProxyInstance(
-            getClass().getClassLoader(), new Class<?>[] {ProtocolIOSession.class},
-            (proxy, method, arguments) -> {
+            getClass().getClassLoader(), new Class<?>[] {ProtocolIOSession.class}, (proxy, method, arguments) -> {
                 done.add(method.getName());
                 return null;
             });
-    private final ClientConnection connection = new ClientConnection(session, LIMITS, Http1Config.DEFAULT,
-            () -> {
-                throw new IllegalStateException("no exchange is opened here");
-            });
+    private final ClientConnection connection = new ClientConnection(session, LIMITS, Http1Config.DEFAULT, () -> {
+        throw new IllegalStateException("no exchange is opened here");
+    });
 
     /** The rest comes behind the close: it must not be taken, as its answer would find no connection. */
     @Test
--- a/src/test/java/dunlinladder/wire/HeadsAndChunksTest.java
+++ b/src/test/java/dunlinladder/wire/HeadsAndChunksTest.java
@@ -27,8 +27,8 @@
 class HeadsAndChunksTest {
 
     private final Input buffer = new Input();
-    private final HeadParser<HttpRequest> requests = new HeadParser<>(
-            new DefaultHttpRequestParserFactory(Http1Config.DEFAULT).create(), 200, 0);
+    private final HeadParser<HttpRequest> requests =
+            new HeadParser<>(new DefaultHttpRequestParserFactory(Http1Config.DEFAULT).create(), 200, 0);
 
     private static ReadableByteChannel channel(String text) {
         return Channels.newChannel(new ByteArrayInputStream(text.getBytes(StandardCharsets.ISO_8859_1)));
@@ -46,12 +46,26 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 5/Transfer-Encoding: chunked//",
-        "Transfer-Encoding: chunked/Content-Length: 5//", "Content-Length: 5/Content-Length: 5//",
-        "Content-Length: 5, 5//", "Content-Length: -1//", "Content-Length: +5//", "Content-Length: 0x5//",
-        "Content-Length: 99999999999999999999//", "Content-Length:// ", "Transfer-Encoding: gzip, chunked//",
-        "Transfer-Encoding: chunked/Transfer-Encoding: chunked//", "Transfer-Encoding: x\u000bchunked//",
-        "A: b\rContent-Length: 5//", "A b: c//", "A : c//", ": c//", "A: b\u0000//"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 5/Transfer-Encoding: chunked//",
+                "Transfer-Encoding: chunked/Content-Length: 5//",
+                "Content-Length: 5/Content-Length: 5//",
+                "Content-Length: 5, 5//",
+                "Content-Length: -1//",
+                "Content-Length: +5//",
+                "Content-Length: 0x5//",
+                "Content-Length: 99999999999999999999//",
+                "Content-Length:// ",
+                "Transfer-Encoding: gzip, chunked//",
+                "Transfer-Encoding: chunked/Transfer-Encoding: chunked//",
+                "Transfer-Encoding: x\u000bchunked//",
+                "A: b\rContent-Length: 5//",
+                "A b: c//",
+                "A : c//",
+                ": c//",
+                "A: b\u0000//"
+            })
     void doubtfulHeadsAreNot(String headers) {
         assertThrows(HttpException.class, () -> head(headers));
     }
@@ -75,8 +89,8 @@
 
     @Test
     void interimAnswersAreCounted() throws Exception {
-        HeadParser<HttpResponse> answers = new HeadParser<>(
-                new DefaultHttpResponseParserFactory(Http1Config.DEFAULT).create(), 200, 2);
+        HeadParser<HttpResponse> answers =
+                new HeadParser<>(new DefaultHttpResponseParserFactory(Http1Config.DEFAULT).create(), 200, 2);
         for (int code : new int[] {100, 102, 200, 103, 103}) {
             buffer.put("HTTP/1.1 " + code + " x\n\n");
             assertEquals(code, answers.parse(buffer, false).getCode());
@@ -104,10 +118,22 @@
 
     /** What has come before a fault or the end is not lost with it. */
     @ParameterizedTest
-    @CsvSource({"5/hello/0//, hello", "2;a=b/he/3/llo/0/Trailer: x//, hello", "A/helloworld/0//, helloworld",
-        "5/hello/, hello!", "5/hel, hel!", "5/hello/zz/, hello!", "4/hello/0//, hell!",
+    @CsvSource({
+        "5/hello/0//, hello",
+        "2;a=b/he/3/llo/0/Trailer: x//, hello",
+        "A/helloworld/0//, helloworld",
+        "5/hello/, hello!",
+        "5/hel, hel!",
+        "5/hello/zz/, hello!",
+        "4/hello/0//, hell!",
         "6/hello/0//, 'hello\n!'",
-        "C0000000/hello, !", "5/hello/65/, hello!", "-5/hello, !", "0x5/hello, !", "+5/hello, !", "/, !"})
+        "C0000000/hello, !",
+        "5/hello/65/, hello!",
+        "-5/hello, !",
+        "0x5/hello, !",
+        "+5/hello, !",
+        "/, !"
+    })
     void chunks(String chunks, String read) {
         assertEquals(read, body(chunks));
     }
--- a/src/test/java/dunlinladder/wire/ReadersTest.java
+++ b/src/test/java/dunlinladder/wire/ReadersTest.java
@@ -36,15 +36,26 @@
     @Test
     void anEntryIsReadInFull() {
         News news = read("{'seq':4,'whole':false,'hosts':[" + HOST + "]}");
-        assertEquals(new News(4, Decider.Scope.CHANGES, List.of(new Engine("s-1",
-                "127.0.0.1:1", 1, 1,
-                3, Engine.State.LEAVING, 0.5, 1.5))), news);
-        assertEquals(Decider.Scope.COMPLETE, read("{'seq':4,'whole':true,'hosts':[]}").scope());
+        assertEquals(
+                new News(
+                        4,
+                        Decider.Scope.CHANGES,
+                        List.of(new Engine("s-1", "127.0.0.1:1", 1, 1, 3, Engine.State.LEAVING, 0.5, 1.5))),
+                news);
+        assertEquals(
+                Decider.Scope.COMPLETE,
+                read("{'seq':4,'whole':true,'hosts':[]}").scope());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"'leaving'|'asleep'|asleep", "'site':'b'|'site':'z'|site z",
-        "'class':'m2'|'class':'m9'|class m9", "'host'|'hose'|host"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "'leaving'|'asleep'|asleep",
+                "'site':'b'|'site':'z'|site z",
+                "'class':'m2'|'class':'m9'|class m9",
+                "'host'|'hose'|host"
+            })
     void faultsAreNamed(String part, String instead, String named) {
         String host = HOST.replace(part, instead);
         BadInput error = assertThrows(BadInput.class, () -> read("{'seq':1,'hosts':[" + host + "]}"));
@@ -52,17 +63,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"{'seq':4}~{'seq':5}~|2|0",
-        "{~  'seq': 4,~  'x': [~  ]~}~~~{'seq':5}|2|0", "^~^{'seq':4}~^~^{'seq':5}~|2|2",
-        "{'seq':4}{'seq':5}|2|0", "|0|0", "^~^~^|0|2"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{'seq':4}~{'seq':5}~|2|0",
+                "{~  'seq': 4,~  'x': [~  ]~}~~~{'seq':5}|2|0",
+                "^~^{'seq':4}~^~^{'seq':5}~|2|2",
+                "{'seq':4}{'seq':5}|2|0",
+                "|0|0",
+                "^~^~^|0|2"
+            })
     void objectsAreReadHoweverTheyAreLaidOut(String text, int objects, int blank) throws IOException {
         // What stands between two ^ comes as one piece.
         String raw = (text == null ? "" : text).replace('\'', '"').replace('~', '\n');
         List<InputStream> pieces = Arrays.stream(raw.split("\\^"))
-                .map(piece -> (InputStream) new ByteArrayInputStream(piece.getBytes())).toList();
+                .map(piece -> (InputStream) new ByteArrayInputStream(piece.getBytes()))
+                .toList();
         AtomicInteger blanks = new AtomicInteger();
-        Json.Values values = new Json.Values(new SequenceInputStream(Collections.enumeration(pieces)),
-                blanks::incrementAndGet);
+        Json.Values values =
+                new Json.Values(new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
         for (int i = 0; i < objects; i++) {
             assertEquals(4 + i, values.next().integer("seq"));
         }
@@ -73,7 +92,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"[1]", "x", "{\"seq\":", "7"})
     void whatIsNotAnObjectIsRefused(String text) throws IOException {
-        Json.Values values = new Json.Values(new ByteArrayInputStream(text.getBytes()), () -> { });
+        Json.Values values = new Json.Values(new ByteArrayInputStream(text.getBytes()), () -> {});
         assertThrows(BadInput.class, values::next);
     }
 }
--- a/src/test/java/dunlinladder/wire/chat/ChatRequestTest.java
+++ b/src/test/java/dunlinladder/wire/chat/ChatRequestTest.java
@@ -15,13 +15,17 @@
 /** What a chat completion request is read for. */
 class ChatRequestTest {
 
-    private static final ChatSettings SETTINGS = new ChatSettings(Map.of(),
-            Map.of("m", new ChatSettings.Model(1, 800)), List.of(), List.of(), List.of(),
-            null, Requests.Unknown.PASS);
+    private static final ChatSettings SETTINGS = new ChatSettings(
+            Map.of(),
+            Map.of("m", new ChatSettings.Model(1, 800)),
+            List.of(),
+            List.of(),
+            List.of(),
+            null,
+            Requests.Unknown.PASS);
     private static final String SYSTEM = "{'role':'system','content':'12345678'}";
     private static final String USER = "{'role':'user','content':'abcde'}";
-    private static final String LATER = ",{'role':'assistant','content':'yes'},{'role':'user','content':'"
-            + "more'}";
+    private static final String LATER = ",{'role':'assistant','content':'yes'},{'role':'user','content':'" + "more'}";
 
     private static ChatRequest read(String body) {
         return ChatRequest.read(body.replace('\'', '"').getBytes(StandardCharsets.UTF_8), SETTINGS, 0);
@@ -32,15 +36,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"{'model':'m','messages':[]}|400|messages",
-        "{'messages':[{}]}|400|'model'", "{'model':'x','messages':[{}]}|404|'x'", "[]|400|not a JSON object",
-        "{'model':'m','messages':'a'}|400|messages", "{'model':'m','messages':[1]}|400|messages",
-        "{'model':'m','n':2,'messages':[]}|400|n must be 1",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{'model':'m','messages':[]}|400|messages",
+                "{'messages':[{}]}|400|'model'",
+                "{'model':'x','messages':[{}]}|404|'x'",
+                "[]|400|not a JSON object",
+                "{'model':'m','messages':'a'}|400|messages",
+                "{'model':'m','messages':[1]}|400|messages",
+                "{'model':'m','n':2,'messages':[]}|400|n must be 1",
                 "{'model':'m','stream':1,'messages':[{'role':'user'}]}|400|stream",
-        "{'model':'m','max_tokens':0,'messages':[]}|400|max_tokens",
-        "{'model':'m','messages':[{'role':'boss','content':'a'}]}|400|boss",
-        "{'model':'m','messages':[{'role':'user','content':7}]}|400|content",
-        "{'model':'m','messages':[{'role':'user','content':[{'type':'image_url'}]}]}|400|image_url"})
+                "{'model':'m','max_tokens':0,'messages':[]}|400|max_tokens",
+                "{'model':'m','messages':[{'role':'boss','content':'a'}]}|400|boss",
+                "{'model':'m','messages':[{'role':'user','content':7}]}|400|content",
+                "{'model':'m','messages':[{'role':'user','content':[{'type':'image_url'}]}]}|400|image_url"
+            })
     void faultsAreNamed(String body, int status, String named) {
         ChatError error = assertThrows(ChatError.class, () -> read(body));
         assertEquals(status, error.status);
@@ -54,15 +65,21 @@
         assertEquals(2, request.prefixTokens());
         assertEquals(800, request.maxOut());
         assertEquals(0, messages(USER).prefix());
-        assertEquals(2, messages("{'role':'user','content':[{'type':'text','text':'abcde'}]}")
-                .promptTokens());
-        assertEquals(7, read("{'model':'m','max_completion_tokens':7,'messages':[" + USER + "]}").maxOut());
+        assertEquals(
+                2,
+                messages("{'role':'user','content':[{'type':'text','text':'abcde'}]}")
+                        .promptTokens());
+        assertEquals(
+                7,
+                read("{'model':'m','max_completion_tokens':7,'messages':[" + USER + "]}")
+                        .maxOut());
     }
 
     @Test
     void turnsOfAConversationShareItsSession() {
-        assertEquals(messages(SYSTEM + "," + USER).session(), messages(SYSTEM + "," + USER + LATER)
-                .session());
+        assertEquals(
+                messages(SYSTEM + "," + USER).session(),
+                messages(SYSTEM + "," + USER + LATER).session());
         assertNotEquals(messages(SYSTEM + "," + USER).session(), messages(USER).session());
         assertEquals(messages(SYSTEM).prefix(), messages(SYSTEM + "," + USER).prefix());
     }
@@ -70,7 +87,11 @@
     @Test
     void enginesAreAlwaysAskedToStream() {
         String whole = "{'model':'m','temperature':0.5,'messages':[" + USER + "],'stream':";
-        assertEquals((whole + "true}").replace('\'', '"'), new String(read(whole + "false}").forward()));
-        assertEquals((whole + "true }").replace('\'', '"'), new String(read(whole + "true }").forward()));
+        assertEquals(
+                (whole + "true}").replace('\'', '"'),
+                new String(read(whole + "false}").forward()));
+        assertEquals(
+                (whole + "true }").replace('\'', '"'),
+                new String(read(whole + "true }").forward()));
     }
 }
--- a/src/test/java/dunlinladder/wire/engine/ConnectionsTest.java
+++ b/src/test/java/dunlinladder/wire/engine/ConnectionsTest.java
@@ -32,8 +32,33 @@
     static final Limits LIMITS = limits(0.25);
 
     private static Limits limits(double releaseSeconds) {
-        return new Limits(1024, 1024, 16384, 16384, 16384, 16, 4096, 10, 10, 10, 5, 10, 0.02, 30, 4,
-                releaseSeconds, 4, 0.02, 1, 2.5, 0.04, 10, 0.1, 0.6, 0.05, 0.25);
+        return new Limits(
+                1024,
+                1024,
+                16384,
+                16384,
+                16384,
+                16,
+                4096,
+                10,
+                10,
+                10,
+                5,
+                10,
+                0.02,
+                30,
+                4,
+                releaseSeconds,
+                4,
+                0.02,
+                1,
+                2.5,
+                0.04,
+                10,
+                0.1,
+                0.6,
+                0.05,
+                0.25);
     }
 
     private static PoolEntry<HttpHost, IOSession> lease(Connections connections, String address) {
@@ -77,8 +102,8 @@
     }
 
     /**
-     * An attempt that is given up ends on the wire at once, although the thread that serves its connection is
-     * busy: a client that is refused meanwhile must not find the attempt still out.
+     * An attempt that is given up ends on the wire at once, although the thread that serves its connection is busy: a
+     * client that is refused meanwhile must not find the attempt still out.
      */
     @Test
     void whatIsGivenUpEndsAtOnce() throws Exception {
@@ -106,11 +131,10 @@
     @Test
     void aReleaseGoesToTheEngineThatAnsweredLast() throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        HttpServer alive = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                5);
+        HttpServer alive = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 5);
         CompletableFuture<String> asked = new CompletableFuture<>();
-        alive.createContext("/", exchange -> asked.complete(exchange.getRequestMethod() + " "
-                + exchange.getRequestURI()));
+        alive.createContext(
+                "/", exchange -> asked.complete(exchange.getRequestMethod() + " " + exchange.getRequestURI()));
         alive.start();
         try (ServerSocket gone = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
                 Connections connections = new Connections(LIMITS, timer)) {
@@ -123,8 +147,8 @@
             }
             engines.apply(Decider.Scope.COMPLETE, listed);
             connections.giveBack(lease(connections, address));
-            new EngineClient(connections, engines, new Gate(engines, new Clock(), 0), new Clock(), LIMITS,
-                    timer).release("held");
+            new EngineClient(connections, engines, new Gate(engines, new Clock(), 0), new Clock(), LIMITS, timer)
+                    .release("held");
             assertEquals("DELETE /internal/reservations/held", asked.join());
         } finally {
             alive.stop(0);
@@ -133,8 +157,8 @@
     }
 
     /**
-     * All engines that answered of late are behind a cut, and their zone is asked in turn with another one. A
-     * gateway that ends waits until the release has arrived.
+     * All engines that answered of late are behind a cut, and their zone is asked in turn with another one. A gateway
+     * that ends waits until the release has arrived.
      */
     @Test
     void aReleaseLeavesAZoneThatIsCutOff() throws Exception {
@@ -167,8 +191,8 @@
                 connections.giveBack(lease(connections, silent));
             }
             engines.apply(Decider.Scope.COMPLETE, listed);
-            EngineClient client = new EngineClient(connections, engines, new Gate(engines, new Clock(), 0),
-                    new Clock(), patient, timer);
+            EngineClient client = new EngineClient(
+                    connections, engines, new Gate(engines, new Clock(), 0), new Clock(), patient, timer);
             client.release("held");
             assertEquals("DELETE /internal/reservations/held", asked.join());
             assertEquals(1, client.releasing());
--- a/src/test/java/dunlinladder/wire/engine/PulseTest.java
+++ b/src/test/java/dunlinladder/wire/engine/PulseTest.java
@@ -20,8 +20,7 @@
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 Connections connections = new Connections(ConnectionsTest.LIMITS, timer);
                 Pulse pulse = new Pulse(connections)) {
-            CountDownLatch release = ConnectionsTest.occupy(connections,
-                    "127.0.0.1:" + engine.getLocalPort());
+            CountDownLatch release = ConnectionsTest.occupy(connections, "127.0.0.1:" + engine.getLocalPort());
             try {
                 pulse.beat();
                 while (pulse.lag() < 0.2) {
--- a/src/test/java/dunlinladder/wire/engine/ReportsTest.java
+++ b/src/test/java/dunlinladder/wire/engine/ReportsTest.java
@@ -14,16 +14,32 @@
 class ReportsTest {
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "none", value = {"none|{}", "''|{}", "a=1|{a=1.0}",
-        "inflight=7, queue=2,util=0.61|{inflight=7.0, queue=2.0, util=0.61}", "a=x,b=2|{}", "=3|{}",
-        "a=1,|{}", "a=0x1p3|{}", "a=1e400|{}", "a=2e-1|{a=0.2}",
-        "a|{}", "a=NaN,b=1|{}", ",,|{}"})
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "none",
+            value = {
+                "none|{}",
+                "''|{}",
+                "a=1|{a=1.0}",
+                "inflight=7, queue=2,util=0.61|{inflight=7.0, queue=2.0, util=0.61}",
+                "a=x,b=2|{}",
+                "=3|{}",
+                "a=1,|{}",
+                "a=0x1p3|{}",
+                "a=1e400|{}",
+                "a=2e-1|{a=0.2}",
+                "a|{}",
+                "a=NaN,b=1|{}",
+                ",,|{}"
+            })
     void loadReports(String text, String expected) {
         assertEquals(expected, Reports.load(text).toString());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"{\"cached_tokens\":4096}|4096", "{}|0", "hello|0", "''|0"})
+    @CsvSource(
+            delimiter = '|',
+            value = {"{\"cached_tokens\":4096}|4096", "{}|0", "hello|0", "''|0"})
     void keptInARead(String body, double expected) {
         assertEquals(expected, Reports.keptInRead(body));
     }
@@ -44,12 +60,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = ';', value = {"data: {}//data: {|}//;data: {}//|data: {}//|",
-        "data: [DONE]//: x/;data: [DONE]//|: x/", ": wait//|data: {}//;|: wait//data: {}//|",
-        "data: {}/\r|/;|data: {}/\r/|", "data: {}//\u0001\u0002/;!", "5f/data: {}//;!", "data: {]//;!",
-        "data: {}//|data: {\"a\":\"\u00ff\"}//;data: {}//|!", "data: 7//;!",
-        "event: a/data: {}//;event: a/data: {}//|",
-        "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx;!", "HTTP/1.1 200 OK//;!"})
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "data: {}//data: {|}//;data: {}//|data: {}//|",
+                "data: [DONE]//: x/;data: [DONE]//|: x/",
+                ": wait//|data: {}//;|: wait//data: {}//|",
+                "data: {}/\r|/;|data: {}/\r/|",
+                "data: {}//\u0001\u0002/;!",
+                "5f/data: {}//;!",
+                "data: {]//;!",
+                "data: {}//|data: {\"a\":\"\u00ff\"}//;data: {}//|!",
+                "data: 7//;!",
+                "event: a/data: {}//;event: a/data: {}//|",
+                "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx;!",
+                "HTTP/1.1 200 OK//;!"
+            })
     void onlyWholeEventsPass(String pieces, String passed) {
         assertEquals(passed, cut(new Events(64), pieces));
     }
@@ -63,8 +89,10 @@
     @Test
     void whatAStreamTellsBeside() {
         Events events = new Events(1000);
-        cut(events, "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":12}}}//"
-                + ": X-Server-Load: queue=3//data: [DONE]//");
+        cut(
+                events,
+                "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":12}}}//"
+                        + ": X-Server-Load: queue=3//data: [DONE]//");
         assertEquals(12, events.kept());
         assertEquals(Map.of("queue", 3.0), events.report());
         assertEquals(0, new Events(1000).kept());
--- a/src/test/java/dunlinladder/wire/platform/RequestReaderTest.java
+++ b/src/test/java/dunlinladder/wire/platform/RequestReaderTest.java
@@ -18,28 +18,45 @@
 class RequestReaderTest {
 
     private static final Forward FORWARD = new Forward("POST", "/", null, new byte[40]);
-    private final RequestReader reader = new RequestReader(List.of("lookup", "listing"), List.of(4.0, 10.0),
-            List.of("acme", "other"));
+    private final RequestReader reader =
+            new RequestReader(List.of("lookup", "listing"), List.of(4.0, 10.0), List.of("acme", "other"));
 
     private Request read(String name, String value) {
-        Map<String, String> headers = new HashMap<>(Map.of("X-Request-ID", "ab12", "X-Priority-Class",
+        Map<String, String> headers = new HashMap<>(Map.of(
+                "X-Request-ID",
+                "ab12",
+                "X-Priority-Class",
                 "listing",
-                "X-Tenant-Id", "other", "X-Timeout", "2.5", "X-Route-Key", "k",
-                "X-Attrs", "prefix=5c,prompt_len=120,prefix_len=20,max_out=80"));
+                "X-Tenant-Id",
+                "other",
+                "X-Timeout",
+                "2.5",
+                "X-Route-Key",
+                "k",
+                "X-Attrs",
+                "prefix=5c,prompt_len=120,prefix_len=20,max_out=80"));
         headers.put(name, value);
         return reader.read(headers::get, FORWARD, 100);
     }
 
     @ParameterizedTest
-    @CsvSource(nullValues = "none", delimiter = '|', value = {"X-Timeout|4.8|104.8 120.0 80.0 false false",
-        "X-Timeout|none|110.0 120.0 80.0 false false", "X-Attrs|none|102.5 10.0 0.0 false false",
-        "X-Attrs|max_out=7,new=x|102.5 10.0 7.0 false false", "X-Retried|1|102.5 120.0 80.0 true false",
-        "X-Retried|again|102.5 120.0 80.0 true true", "X-Route-Key|none|102.5 120.0 80.0 false false"})
+    @CsvSource(
+            nullValues = "none",
+            delimiter = '|',
+            value = {
+                "X-Timeout|4.8|104.8 120.0 80.0 false false",
+                "X-Timeout|none|110.0 120.0 80.0 false false",
+                "X-Attrs|none|102.5 10.0 0.0 false false",
+                "X-Attrs|max_out=7,new=x|102.5 10.0 7.0 false false",
+                "X-Retried|1|102.5 120.0 80.0 true false",
+                "X-Retried|again|102.5 120.0 80.0 true true",
+                "X-Route-Key|none|102.5 120.0 80.0 false false"
+            })
     void whatIsRead(String header, String value, String expected) {
         Request r = read(header, value);
-        assertEquals(expected, r.deadline() + " " + r.promptTokens() + " " + r.maxOut() + " " + r.retry()
-                + " "
-                + r.returned());
+        assertEquals(
+                expected,
+                r.deadline() + " " + r.promptTokens() + " " + r.maxOut() + " " + r.retry() + " " + r.returned());
         assertEquals("ab12 1 1", r.id() + " " + r.serviceClass() + " " + r.tenant());
         assertEquals("X-Attrs".equals(header) ? 0 : RequestReader.key("5c"), r.prefix());
     }
@@ -55,13 +72,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource(nullValues = "none", value = {"X-Request-ID, none", "X-Request-ID, a/b",
-            "X-Priority-Class, none",
-        "X-Priority-Class, x", "X-Tenant-Id, none", "X-Timeout, ''", "X-Timeout, NaN", "X-Timeout, -1",
-        "X-Timeout, 1e400",
-        "X-Timeout, 0x1p3", "X-Timeout, 4d", "X-Timeout, +4", "X-Timeout, 1e1",
-        "X-Timeout, .5", "X-Timeout, Infinity", "X-Attrs, prompt_len", "X-Attrs, prompt_len=many",
-        "X-Attrs, max_out=-1"})
+    @CsvSource(
+            nullValues = "none",
+            value = {
+                "X-Request-ID, none",
+                "X-Request-ID, a/b",
+                "X-Priority-Class, none",
+                "X-Priority-Class, x",
+                "X-Tenant-Id, none",
+                "X-Timeout, ''",
+                "X-Timeout, NaN",
+                "X-Timeout, -1",
+                "X-Timeout, 1e400",
+                "X-Timeout, 0x1p3",
+                "X-Timeout, 4d",
+                "X-Timeout, +4",
+                "X-Timeout, 1e1",
+                "X-Timeout, .5",
+                "X-Timeout, Infinity",
+                "X-Attrs, prompt_len",
+                "X-Attrs, prompt_len=many",
+                "X-Attrs, max_out=-1"
+            })
     void faultsNameTheirHeader(String header, String value) {
         BadInput error = assertThrows(BadInput.class, () -> read(header, value));
         assertTrue(error.getMessage().contains(header), error.getMessage());
--- a/src/test/java/dunlinladder/wire/sim/HostTest.java
+++ b/src/test/java/dunlinladder/wire/sim/HostTest.java
@@ -59,17 +59,22 @@
 
     @Test
     void restartWithinABatchForgetsEverything() throws Exception {
-        String out = run(batch(1, open(0) + job(0, "t/x")) + batch(2, "{\"Detach\":{\"i\":0}}\n" + open(0)
-                + "{\"Returned\":{\"i\":0,\"id\":\"t/x\","
-                + "\"go\":0,\"worker\":\"a:1\",\"outcome\":210}}\n"));
+        String out = run(batch(1, open(0) + job(0, "t/x"))
+                + batch(
+                        2,
+                        "{\"Detach\":{\"i\":0}}\n" + open(0)
+                                + "{\"Returned\":{\"i\":0,\"id\":\"t/x\","
+                                + "\"go\":0,\"worker\":\"a:1\",\"outcome\":210}}\n"));
         assertTrue(out.endsWith("{\"End\":{\"turn\":1}}\n{\"End\":{\"turn\":2}}\n"), out);
     }
 
     @Test
     void readThenWritten() throws Exception {
-        String out = run(batch(1, open(0) + job(0, "t/x")) + batch(2,
-                "{\"Returned\":{\"i\":0,\"id\":\"t/x\",\"go\":0,\"worker\":\"a:1\",\"outcome\":210,"
-                + "\"cost-time\":0.1,\"server-stats\":{\"x0\":0.5}}}\n"));
+        String out = run(batch(1, open(0) + job(0, "t/x"))
+                + batch(
+                        2,
+                        "{\"Returned\":{\"i\":0,\"id\":\"t/x\",\"go\":0,\"worker\":\"a:1\",\"outcome\":210,"
+                                + "\"cost-time\":0.1,\"server-stats\":{\"x0\":0.5}}}\n"));
         assertTrue(out.contains("\"worker\":\"b:1\""), out);
     }
 
