--- a/src/test/java/dunlinladder/decision/GoldenDecisionTraceTest.java
+++ b/src/test/java/dunlinladder/decision/GoldenDecisionTraceTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every action of the decision module, in order, in fixed virtual fleets, held against a digest: whoever
- * changes its form and not its decisions sees here that all of them stayed, to the last bit of a time-out.
+ * Every action of the decision module, in order, in fixed virtual fleets, held against a digest: whoever changes its
+ * form and not its decisions sees here that all of them stayed, to the last bit of a time-out.
  *
- * <p>A digest is of the number of actions and of their canonical text, which {@link #text} alone writes, so
- * that new names leave it as it is. With {@code -Dgolden.dump=DIR} the texts are written there, so that two
- * builds can be compared line by line. Whoever changes decisions on purpose replaces the digests and says so.
+ * <p>A digest is of the number of actions and of their canonical text, which {@link #text} alone writes, so that new
+ * names leave it as it is. With {@code -Dgolden.dump=DIR} the texts are written there, so that two builds can be
+ * compared line by line. Whoever changes decisions on purpose replaces the digests and says so.
  */
 class GoldenDecisionTraceTest {
 
@@ -30,18 +30,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        "small, 1, "
-            + "9409:4e5a4d0f995010cbf99845041a19c58e9f5156b37270e596ca6a43f69c659860",
-        "small, 14, "
-            + "10366:90ff5f658ed1c5d2cc053911ca0ced322f6b378fd149a44cee631c899dd0e3db",
-        "small, 100, "
-            + "9540:00bb720bb1773c9929276abcb600008ae2624669007d3e88e4d863ce44d90e9d",
-        "wide, 1, "
-            + "22938:cd2a83086db7737506e1188016c83141c424ee770f1944c56c8ecba95d839cab",
-        "wide, 14, "
-            + "23259:3a7571cb3aa905105e1d242e6319cac67737a7a1a47656954b6ab644bf94239a",
-        "wide, 100, "
-            + "24795:d0ca9c7869ccc6127958c2eb72a4c77cece1a136ed3499e2c69b7d2e3cf90b05"})
+        "small, 1, " + "9409:4e5a4d0f995010cbf99845041a19c58e9f5156b37270e596ca6a43f69c659860",
+        "small, 14, " + "10366:90ff5f658ed1c5d2cc053911ca0ced322f6b378fd149a44cee631c899dd0e3db",
+        "small, 100, " + "9540:00bb720bb1773c9929276abcb600008ae2624669007d3e88e4d863ce44d90e9d",
+        "wide, 1, " + "22938:cd2a83086db7737506e1188016c83141c424ee770f1944c56c8ecba95d839cab",
+        "wide, 14, " + "23259:3a7571cb3aa905105e1d242e6319cac67737a7a1a47656954b6ab644bf94239a",
+        "wide, 100, " + "24795:d0ca9c7869ccc6127958c2eb72a4c77cece1a136ed3499e2c69b7d2e3cf90b05"
+    })
     void decidesAsBefore(String deployment, int balancers, String expected) throws IOException {
         assertEquals(expected, digest(deployment, balancers));
     }
@@ -51,9 +46,10 @@
         int[] actions = {0};
         for (long seed : SEEDS) {
             new GoldenFleet(fleet(deployment, balancers, seed), (gateway, action) -> {
-                actions[0]++;
-                trace.append(gateway).append('|').append(text(action)).append('\n');
-            }).play();
+                        actions[0]++;
+                        trace.append(gateway).append('|').append(text(action)).append('\n');
+                    })
+                    .play();
         }
         String dump = System.getProperty("golden.dump");
         if (dump != null) {
@@ -90,37 +86,55 @@
     private static GoldenFleet.Figures fleet(String deployment, int balancers, long seed) {
         int gateways = balancers == 1 ? 1 : balancers < 50 ? 3 : 4;
         return deployment.equals("small")
-                ? new GoldenFleet.Figures(small(balancers), gateways, new int[] {6, 7, 3}, 2, 2, 0.1, 1.5, 8,
-                        seed)
-                : new GoldenFleet.Figures(wide(balancers), gateways, new int[] {9, 5, 6, 3, 5, 2}, 4, 3, 0.14,
-                        2.5, 6, seed);
+                ? new GoldenFleet.Figures(small(balancers), gateways, new int[] {6, 7, 3}, 2, 2, 0.1, 1.5, 8, seed)
+                : new GoldenFleet.Figures(
+                        wide(balancers), gateways, new int[] {9, 5, 6, 3, 5, 2}, 4, 3, 0.14, 2.5, 6, seed);
     }
 
     /** Two zones of two cells; advice to clients, lists on request. */
     private static Router.Settings small(int balancers) {
-        return new Router.Settings(balancers, 0, List.of(
-                type(0.8, 0.05, 0.05, Effect.SAFE, Group.ALL, 5),
-                type(1.2, 0.05, 0, Effect.KEYED, Group.ZONE, 4),
-                type(1.6, 0, 0.06, Effect.UNSAFE, Group.ALL, 5),
-                type(1.2, 0.1, 0.05, Effect.KEYED, Group.CELL, 1)),
-                List.of(1e9, 8.0, 0.5), List.of(Role.READ, Role.WRITE, Role.BOTH), List.of(2e5, 6e4, 4e4), 5,
-                false, true, 2, true, new Router.Rules(0.01, 0.5, 3, 1.5, 12, 0.29, 0.5));
+        return new Router.Settings(
+                balancers,
+                0,
+                List.of(
+                        type(0.8, 0.05, 0.05, Effect.SAFE, Group.ALL, 5),
+                        type(1.2, 0.05, 0, Effect.KEYED, Group.ZONE, 4),
+                        type(1.6, 0, 0.06, Effect.UNSAFE, Group.ALL, 5),
+                        type(1.2, 0.1, 0.05, Effect.KEYED, Group.CELL, 1)),
+                List.of(1e9, 8.0, 0.5),
+                List.of(Role.READ, Role.WRITE, Role.BOTH),
+                List.of(2e5, 6e4, 4e4),
+                5,
+                false,
+                true,
+                2,
+                true,
+                new Router.Rules(0.01, 0.5, 3, 1.5, 12, 0.29, 0.5));
     }
 
     /** Four zones of three cells; readers of two kinds, a kind that the settings don't know, short memory. */
     private static Router.Settings wide(int balancers) {
-        return new Router.Settings(balancers, 1, List.of(
-                type(1.2, 0.04, 0.06, Effect.KEYED, Group.ALL, 3),
-                type(0.9, 0.08, 0.06, Effect.SAFE, Group.ZONE, 5),
-                type(2, 0.04, 0.08, Effect.UNSAFE, Group.CELL, 5),
-                type(1.4, 0.04, 0, Effect.KEYED, Group.ZONE, 6)),
-                List.of(20.0, 5.0, 1e9, 2.0), List.of(Role.READ, Role.WRITE, Role.READ, Role.BOTH,
-                Role.WRITE), List.of(1e5, 5e4, 2e5, 3e4), 4, true, false, 1, false,
+        return new Router.Settings(
+                balancers,
+                1,
+                List.of(
+                        type(1.2, 0.04, 0.06, Effect.KEYED, Group.ALL, 3),
+                        type(0.9, 0.08, 0.06, Effect.SAFE, Group.ZONE, 5),
+                        type(2, 0.04, 0.08, Effect.UNSAFE, Group.CELL, 5),
+                        type(1.4, 0.04, 0, Effect.KEYED, Group.ZONE, 6)),
+                List.of(20.0, 5.0, 1e9, 2.0),
+                List.of(Role.READ, Role.WRITE, Role.READ, Role.BOTH, Role.WRITE),
+                List.of(1e5, 5e4, 2e5, 3e4),
+                4,
+                true,
+                false,
+                1,
+                false,
                 new Router.Rules(0.02, 1, 4, 1, 14, 0.2, 0.8));
     }
 
-    private static Router.ServiceClass type(double aim, double perKilotoken, double tokenAim, Effect effect,
-            Group group, double window) {
+    private static Router.ServiceClass type(
+            double aim, double perKilotoken, double tokenAim, Effect effect, Group group, double window) {
         return new Router.ServiceClass(aim, perKilotoken, 0.05, tokenAim, effect, group, window, 1, 0.2);
     }
 }
--- a/src/test/java/dunlinladder/decision/GoldenFleet.java
+++ b/src/test/java/dunlinladder/decision/GoldenFleet.java
@@ -14,9 +14,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * A rough fleet for {@link GoldenDecisionTraceTest}: gateways, engines and clients in virtual time, with
- * everything that can happen to them in one run. It is to reach all decisions, not to be like any site; it
- * draws in a fixed order from one seed. Changing it changes the digests.
+ * A rough fleet for {@link GoldenDecisionTraceTest}: gateways, engines and clients in virtual time, with everything
+ * that can happen to them in one run. It is to reach all decisions, not to be like any site; it draws in a fixed order
+ * from one seed. Changing it changes the digests.
  */
 final class GoldenFleet {
 
@@ -24,20 +24,29 @@
      * What is played.
      *
      * @param engines of each kind
-     * @param read    seconds to read a thousand tokens
-     * @param stream  seconds that a stream takes
-     * @param slots   streams that an engine runs at once
+     * @param read seconds to read a thousand tokens
+     * @param stream seconds that a stream takes
+     * @param slots streams that an engine runs at once
      */
-    record Figures(Router.Settings settings, int gateways, int[] engines, int zones, int cellsInZone,
-            double read, double stream, int slots, long seed) { }
+    record Figures(
+            Router.Settings settings,
+            int gateways,
+            int[] engines,
+            int zones,
+            int cellsInZone,
+            double read,
+            double stream,
+            int slots,
+            long seed) {}
 
     /** Load against what the readers can do, by five seconds; 0 is a pause. */
     private static final double[] LOADS = {0.3, 0.6, 0.9, 1.6, 0.7, 2.5, 0.4, 0, 0.5, 0.8, 1.2, 0.2};
+
     private static final double PHASE = 5;
     private static final double OUTAGE_FROM = 42;
     private static final double OUTAGE_TO = 43.5;
 
-    private record Due(double at, long number, Runnable task) { }
+    private record Due(double at, long number, Runnable task) {}
 
     private static final class Engine {
         String id;
@@ -68,8 +77,8 @@
     private final List<Router> gateways = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
     private final Map<String, Call> calls = new HashMap<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at)
-            .thenComparingLong(Due::number));
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private final double start = 1000;
     private double now = start;
     private long number;
@@ -151,9 +160,19 @@
         long prefix = shared ? 1 + (long) (8 * random.nextDouble() * random.nextDouble()) : 0;
         double life = chance(0.1) ? 0.5 + random.nextDouble() : 4 + 3 * random.nextDouble();
         double hint = chance(0.5) ? 1 + 9 * random.nextDouble() : 0;
-        Router.Request request = new Router.Request("q" + requests++, random.nextInt(settings.classes()
-                .size()), random.nextInt(settings.quotas().size() + 2) - 1, session, now + life, hint, prefix,
-                prompt, shared ? prompt * random.nextDouble() : 0, 20 + random.nextInt(300), false, false,
+        Router.Request request = new Router.Request(
+                "q" + requests++,
+                random.nextInt(settings.classes().size()),
+                random.nextInt(settings.quotas().size() + 2) - 1,
+                session,
+                now + life,
+                hint,
+                prefix,
+                prompt,
+                shared ? prompt * random.nextDouble() : 0,
+                20 + random.nextInt(300),
+                false,
+                false,
                 worker -> any || Integer.parseInt(worker.substring(1)) % 3 != part);
         call(random.nextInt(gateways.size()), request);
     }
@@ -186,9 +205,24 @@
         Router.Request r = call.request;
         if (chance(0.3)) {
             boolean same = chance(0.5);
-            in(0.05 + after, () -> call(call.gateway, new Router.Request(same ? id : id + "r",
-                    r.serviceClass(), r.tenant(), r.session(), now + 4, r.hint(), r.prefix(),
-                    r.promptTokens(), r.prefixTokens(), r.maxOut(), true, false, r.fits())));
+            in(
+                    0.05 + after,
+                    () -> call(
+                            call.gateway,
+                            new Router.Request(
+                                    same ? id : id + "r",
+                                    r.serviceClass(),
+                                    r.tenant(),
+                                    r.session(),
+                                    now + 4,
+                                    r.hint(),
+                                    r.prefix(),
+                                    r.promptTokens(),
+                                    r.prefixTokens(),
+                                    r.maxOut(),
+                                    true,
+                                    false,
+                                    r.fits())));
         }
     }
 
@@ -237,7 +271,7 @@
         }
     }
 
-    private record Try(Call call, Engine engine, int number, double at) { }
+    private record Try(Call call, Engine engine, int number, double at) {}
 
     // ---- Engines ----
 
@@ -250,8 +284,8 @@
         Engine engine = attempt.engine;
         Router.Request request = attempt.call.request;
         double found = chance(0.5) ? request.prefixTokens() * random.nextDouble() : 0;
-        engine.freeAt = Math.max(now, engine.freeAt)
-                + (request.promptTokens() - found) / 1000 * figures.read / speed(engine);
+        engine.freeAt =
+                Math.max(now, engine.freeAt) + (request.promptTokens() - found) / 1000 * figures.read / speed(engine);
         double born = engine.born;
         if (engine.freeAt - now > limit) {
             in(limit, () -> ended(attempt, Status.TIMEOUT, 0));
@@ -273,8 +307,10 @@
         } else if (engine.running >= figures.slots) {
             in(0.005, () -> ended(attempt, Status.FULL, 0));
         } else {
-            stream(attempt, limit, 0.03 + (held ? 0.02 : call.request.promptTokens() / 1000 * figures.read)
-                    / speed(engine));
+            stream(
+                    attempt,
+                    limit,
+                    0.03 + (held ? 0.02 : call.request.promptTokens() / 1000 * figures.read) / speed(engine));
         }
     }
 
@@ -290,8 +326,12 @@
         }
         in(begins, () -> begin(attempt));
         Status status = !chance(0.02) ? Status.OK : chance(0.5) ? Status.RESET : Status.TIMEOUT;
-        in(begins + lasts, () -> ended(attempt, status, status == Status.OK ? attempt.call.request
-                .prefixTokens() * random.nextDouble() : 0));
+        in(
+                begins + lasts,
+                () -> ended(
+                        attempt,
+                        status,
+                        status == Status.OK ? attempt.call.request.prefixTokens() * random.nextDouble() : 0));
     }
 
     private void begin(Try attempt) {
@@ -300,8 +340,8 @@
             return;
         }
         call.begun = true;
-        Router.FirstToken first = new Router.FirstToken(call.request.id(), attempt.number, attempt.engine.id,
-                now - attempt.at);
+        Router.FirstToken first =
+                new Router.FirstToken(call.request.id(), attempt.number, attempt.engine.id, now - attempt.at);
         handle(call.gateway, first);
         if (chance(0.02)) {
             handle(call.gateway, first);
@@ -314,8 +354,15 @@
         boolean closed = call.done || call.begun || told == Status.OK;
         call.out = false;
         call.done |= closed;
-        Router.Outcome outcome = new Router.Outcome(call.request.id(), attempt.number, attempt.engine.id,
-                told, now - attempt.at, closed, note, report(attempt.engine));
+        Router.Outcome outcome = new Router.Outcome(
+                call.request.id(),
+                attempt.number,
+                attempt.engine.id,
+                told,
+                now - attempt.at,
+                closed,
+                note,
+                report(attempt.engine));
         handle(call.gateway, outcome);
         if (chance(0.02)) {
             in(random.nextDouble(), () -> handle(call.gateway, outcome));
@@ -337,13 +384,27 @@
 
     private Router.Member member(Engine engine, Lifecycle lifecycle) {
         int cell = engine.number % (figures.zones * figures.cellsInZone);
-        return new Router.Member(engine.id, cell % figures.zones, engine.kind, cell, lifecycle,
-                engine.number % 4 == 0 ? 0.7 : 1, engine.born);
+        return new Router.Member(
+                engine.id,
+                cell % figures.zones,
+                engine.kind,
+                cell,
+                lifecycle,
+                engine.number % 4 == 0 ? 0.7 : 1,
+                engine.born);
     }
 
     private void list(int gateway, Scope scope, List<Engine> named) {
-        handle(gateway, new Router.Members(scope, scope == Scope.FAILED ? List.of() : named.stream()
-                .filter(e -> e.up).map(e -> member(e, Lifecycle.ACTIVE)).toList()));
+        handle(
+                gateway,
+                new Router.Members(
+                        scope,
+                        scope == Scope.FAILED
+                                ? List.of()
+                                : named.stream()
+                                        .filter(e -> e.up)
+                                        .map(e -> member(e, Lifecycle.ACTIVE))
+                                        .toList()));
     }
 
     /** A list of each scope now and then; some leave an engine out, which a later one names again. */
@@ -402,8 +463,7 @@
         Router.Member member = member(engine, lifecycle);
         for (int i = 0; i < gateways.size(); i++) {
             int gateway = i;
-            in(0.3 * random.nextDouble(), () -> handle(gateway, new Router.Members(Scope.CHANGES,
-                    List.of(member))));
+            in(0.3 * random.nextDouble(), () -> handle(gateway, new Router.Members(Scope.CHANGES, List.of(member))));
         }
     }
 }
--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -18,23 +18,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every command of the state machine that follows the list, in order, and when it wants to be woken, against
- * a discovery that does anything in virtual time; held against a digest. Whoever changes its form and not
- * what it does sees here that all stayed.
+ * Every command of the state machine that follows the list, in order, and when it wants to be woken, against a
+ * discovery that does anything in virtual time; held against a digest. Whoever changes its form and not what it does
+ * sees here that all stayed.
  *
- * <p>A digest is of the number of commands and of a canonical text, which {@link #text} and {@link #step}
- * alone write, so that new names leave it as it is.
+ * <p>A digest is of the number of commands and of a canonical text, which {@link #text} and {@link #step} alone write,
+ * so that new names leave it as it is.
  */
 class GoldenWatchTraceTest {
 
     private static final int STEPS = 6000;
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
 
-    private record Due(double at, long number, Event event) { }
+    private record Due(double at, long number, Event event) {}
 
     private final StringBuilder trace = new StringBuilder();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at)
-            .thenComparingLong(Due::number));
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private Random random;
     private Following state;
     private double now;
@@ -44,18 +44,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        "asked, "
-            + "2852:c84d4f752b3074bfe070b06371f3655c407b06210d49d405325e94cf78aaa796",
-        "pushed, "
-            + "3019:35cd1798d8dbab5a45b27df2f3923e0ee9684c5a41d467702f2ae99db5767ece",
-        "hurried, "
-            + "2937:50878a152d40ee80d732320e42ea4a208ee3f0150bacb10a22edc680ceae5fdd",
-        "slack, "
-            + "3018:63bbd9a5d21085556b1cbebbac84616687cebe1a73c7804a56b68dca8ac2b99c",
-        "patient, "
-            + "2828:9a446225e59586503c85615a497dc9e6b4d911c3063b8e94c410cf5ce7c60400",
-        "two, "
-            + "2402:4e965b18a9b9882e6ba34ac6eb242df3d7e10667f65b8367391a08934c20d134"})
+        "asked, " + "2852:c84d4f752b3074bfe070b06371f3655c407b06210d49d405325e94cf78aaa796",
+        "pushed, " + "3019:35cd1798d8dbab5a45b27df2f3923e0ee9684c5a41d467702f2ae99db5767ece",
+        "hurried, " + "2937:50878a152d40ee80d732320e42ea4a208ee3f0150bacb10a22edc680ceae5fdd",
+        "slack, " + "3018:63bbd9a5d21085556b1cbebbac84616687cebe1a73c7804a56b68dca8ac2b99c",
+        "patient, " + "2828:9a446225e59586503c85615a497dc9e6b4d911c3063b8e94c410cf5ce7c60400",
+        "two, " + "2402:4e965b18a9b9882e6ba34ac6eb242df3d7e10667f65b8367391a08934c20d134"
+    })
     void followsAsBefore(String timing, String expected) {
         assertEquals(expected, digest(timing));
     }
@@ -91,7 +86,10 @@
 
     /** The canonical text of a step: when it is over, and when the next one is wanted. */
     private void step(double wake) {
-        trace.append(Double.toHexString(now)).append('|').append(Double.toHexString(wake)).append('\n');
+        trace.append(Double.toHexString(now))
+                .append('|')
+                .append(Double.toHexString(wake))
+                .append('\n');
     }
 
     private static String sha256(String text) {
@@ -192,8 +190,8 @@
         }
         version += random.nextInt(3);
         long told = chance(0.1) ? Math.max(1, version - random.nextInt(4)) : version;
-        Decider.Scope scope = !whole ? Decider.Scope.CHANGES : chance(0.2) ? Decider.Scope.CACHED
-                : Decider.Scope.COMPLETE;
+        Decider.Scope scope =
+                !whole ? Decider.Scope.CHANGES : chance(0.2) ? Decider.Scope.CACHED : Decider.Scope.COMPLETE;
         return new News(told, scope, List.of());
     }
 }
