--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 
 # Prints the tables of fields and errors that the program carries out.
 docs: build
-	java -cp target/dunlinladder.jar dunlinladder.lifecycle.Pages docs
+	java -cp target/dunlinladder.jar dunlinladder.lifecycle.ReferenceDocs docs
 
 # Shows the program at work: stand-ins of two generations, the gateway, clients of three formats.
 demo: build
--- a/deploy/fleet-counts.py
+++ b/deploy/fleet-counts.py
@@ -20,7 +20,7 @@
 
 LINE = re.compile(r"([\d.]+) .*?event=(\w+) (.*)")
 FIELD = re.compile(r"(\w+)=(\[[^]]*\]|\S+)")
-WELL = ("READ", "OK")
+WELL = ("PREFILLED", "OK")
 COLD_SECONDS = 14
 
 
--- a/src/bench/java/dunlinladder/bench/TranslationBench.java
+++ b/src/bench/java/dunlinladder/bench/TranslationBench.java
@@ -1,12 +1,12 @@
 package dunlinladder.bench;
 
-import dunlinladder.dialect.Format;
-import dunlinladder.dialect.Part;
-import dunlinladder.dialect.Pieces;
-import dunlinladder.dialect.ReplyEvent;
-import dunlinladder.dialect.ReplyWriter;
-import dunlinladder.dialect.Requests;
-import dunlinladder.dialect.Translation;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.apiformat.ContentPart;
+import dunlinladder.apiformat.ReplyEncoder;
+import dunlinladder.apiformat.ReplyEvent;
+import dunlinladder.apiformat.ReplyTranslator;
+import dunlinladder.apiformat.RequestTranslator;
+import dunlinladder.apiformat.StrictJson;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -44,15 +44,15 @@
         @Param({"1", "32", "250"})
         public int kilobytes;
 
-        private Format from;
-        private Format to;
+        private ApiFormat from;
+        private ApiFormat to;
         private byte[] body;
 
         /** Makes the body. */
         @Setup
         public void make() {
-            from = Format.valueOf(pair.split(" ")[0]);
-            to = Format.valueOf(pair.split(" ")[1]);
+            from = ApiFormat.valueOf(pair.split(" ")[0]);
+            to = ApiFormat.valueOf(pair.split(" ")[1]);
             String text = "All that is known of this copy. ".repeat(kilobytes * 32);
             String talk = switch (from) {
                 case COMPLETIONS -> "\"prompt\":\"" + text + "\"";
@@ -84,18 +84,18 @@
         })
         public String pair;
 
-        private Format from;
-        private Format to;
+        private ApiFormat from;
+        private ApiFormat to;
         private byte[] stream;
 
         /** Makes the stream. */
         @Setup
         public void make() {
-            from = Format.valueOf(pair.split(" ")[0]);
-            to = Format.valueOf(pair.split(" ")[1]);
-            ReplyWriter writer = ReplyWriter.of(from, identity());
+            from = ApiFormat.valueOf(pair.split(" ")[0]);
+            to = ApiFormat.valueOf(pair.split(" ")[1]);
+            ReplyEncoder writer = ReplyEncoder.of(from, identity());
             StringBuilder text = new StringBuilder(writer.stream(new ReplyEvent.Begin("e", "e", 1)));
-            text.append(writer.stream(new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null)));
+            text.append(writer.stream(new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null)));
             for (int i = 0; i < EVENTS; i++) {
                 text.append(writer.stream(new ReplyEvent.Grow(0, 0, "four words at once ", null)));
             }
@@ -107,17 +107,20 @@
         }
     }
 
-    private static ReplyWriter.Identity identity() {
-        return new ReplyWriter.Identity("7", "shelf", 5, true, false, null);
+    private static ReplyEncoder.Identity identity() {
+        return new ReplyEncoder.Identity("7", "shelf", 5, true, false, null);
     }
 
     /** A request's bytes in, the other format's bytes out. */
     @Benchmark
     public int request(Request request) {
-        return Requests.write(
+        return RequestTranslator.write(
                         request.to,
-                        Requests.read(
-                                request.from, Pieces.body(request.body), Requests.Unknown.PASS, new ArrayList<>()),
+                        RequestTranslator.read(
+                                request.from,
+                                StrictJson.body(request.body),
+                                RequestTranslator.Unknown.PASS,
+                                new ArrayList<>()),
                         800,
                         new ArrayList<>())
                 .toString()
@@ -129,7 +132,7 @@
     @Benchmark
     @OperationsPerInvocation(EVENTS)
     public int event(Answer answer) {
-        Translation translation = new Translation(answer.from, answer.to, identity(), true);
+        ReplyTranslator translation = new ReplyTranslator(answer.from, answer.to, identity(), true);
         int[] length = {0};
         translation.stream(
                 ByteBuffer.wrap(answer.stream), text -> length[0] += text.getBytes(StandardCharsets.UTF_8).length);
--- a/src/main/java/dunlinladder/dialect/Fault.java
+++ b/src/main/java/dunlinladder/apiformat/ApiError.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 /**
  * Why a request was not answered, in no format.
@@ -7,9 +7,9 @@
  * @param message for the client's people
  * @param field the faulty field, or null
  */
-public record Fault(Kind kind, String message, String field) {
+public record ApiError(Kind kind, String message, String field) {
 
-    /** The kinds of faults; each format has a row for each in {@link Faults}. */
+    /** The kinds of faults; each format has a row for each in {@link ErrorTranslator}. */
     public enum Kind {
         /** The request is malformed. */
         INVALID,
--- a/src/main/java/dunlinladder/dialect/Format.java
+++ b/src/main/java/dunlinladder/apiformat/ApiFormat.java
@@ -1,10 +1,10 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import java.util.Locale;
 import java.util.Optional;
 
 /** The published request formats that are spoken, each by clients and by engines. */
-public enum Format {
+public enum ApiFormat {
 
     /** The legacy text API. */
     COMPLETIONS("/v1/completions"),
@@ -17,7 +17,7 @@
 
     private final String path;
 
-    Format(String path) {
+    ApiFormat(String path) {
         this.path = path;
     }
 
@@ -32,8 +32,8 @@
     }
 
     /** The format of a name in an operator's file, if it is one. */
-    public static Optional<Format> of(String key) {
-        for (Format format : values()) {
+    public static Optional<ApiFormat> of(String key) {
+        for (ApiFormat format : values()) {
             if (format.key().equals(key)) {
                 return Optional.of(format);
             }
--- a/src/main/java/dunlinladder/dialect/Part.java
+++ b/src/main/java/dunlinladder/apiformat/ContentPart.java
@@ -1,7 +1,7 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 /** A piece of a message in the neutral model. */
-public sealed interface Part {
+public sealed interface ContentPart {
 
     /** The kinds of pieces, which formats carry or not. */
     enum Kind {
@@ -19,7 +19,7 @@
     Kind kind();
 
     /** Text. */
-    record Text(String text) implements Part {
+    record Text(String text) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.TEXT;
@@ -27,7 +27,7 @@
     }
 
     /** A picture by its address, which may be a {@code data:} one; {@code detail} may be null. */
-    record Image(String url, String detail) implements Part {
+    record Image(String url, String detail) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.IMAGE;
@@ -35,7 +35,7 @@
     }
 
     /** Sound, base64, in a format such as {@code wav}. */
-    record Audio(String data, String format) implements Part {
+    record Audio(String data, String format) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.AUDIO;
@@ -43,7 +43,7 @@
     }
 
     /** A file: its content as a {@code data:} address, or an id; the other is null, as may be the name. */
-    record File(String name, String data, String id) implements Part {
+    record File(String name, String data, String id) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.FILE;
@@ -51,7 +51,7 @@
     }
 
     /** A tool that the model called; {@code arguments} is JSON text. */
-    record Call(String id, String name, String arguments) implements Part {
+    record Call(String id, String name, String arguments) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.CALL;
@@ -59,7 +59,7 @@
     }
 
     /** What a called tool gave. */
-    record Result(String callId, String text, boolean error) implements Part {
+    record Result(String callId, String text, boolean error) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.RESULT;
@@ -67,7 +67,7 @@
     }
 
     /** The model's own reasoning; {@code seal} is what the maker signs or encrypts it with, or null. */
-    record Thought(String text, String seal) implements Part {
+    record Thought(String text, String seal) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.THOUGHT;
@@ -75,7 +75,7 @@
     }
 
     /** The model's own refusal, which is an answer. */
-    record Refusal(String text) implements Part {
+    record Refusal(String text) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.REFUSAL;
--- a/src/main/java/dunlinladder/dialect/Conversation.java
+++ b/src/main/java/dunlinladder/apiformat/Conversation.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.EnumSet;
@@ -15,34 +15,38 @@
  * @param legacy whether tools were given by the older names, and so are to be called by them
  */
 public record Conversation(
-        Format from, Map<Setting, JsonNode> settings, List<Turn> turns, Map<String, JsonNode> unknown, boolean legacy) {
+        ApiFormat from,
+        Map<RequestParameter, JsonNode> settings,
+        List<Message> turns,
+        Map<String, JsonNode> unknown,
+        boolean legacy) {
 
     /** A setting's value; null where it was not given. */
-    public JsonNode get(Setting setting) {
+    public JsonNode get(RequestParameter setting) {
         return settings.get(setting);
     }
 
     /** A setting as text; null where it was not given. */
-    public String text(Setting setting) {
+    public String text(RequestParameter setting) {
         JsonNode value = settings.get(setting);
         return value == null ? null : value.asText();
     }
 
     /** A setting as a whole number, {@code absent} where it was not given. */
-    public long number(Setting setting, long absent) {
+    public long number(RequestParameter setting, long absent) {
         JsonNode value = settings.get(setting);
         return value == null ? absent : value.asLong(absent);
     }
 
     /** Whether a setting is given and true. */
-    public boolean flag(Setting setting) {
+    public boolean flag(RequestParameter setting) {
         JsonNode value = settings.get(setting);
         return value != null && value.asBoolean();
     }
 
     /** The kinds of parts that it holds. */
-    public Set<Part.Kind> kinds() {
-        Set<Part.Kind> kinds = EnumSet.noneOf(Part.Kind.class);
+    public Set<ContentPart.Kind> kinds() {
+        Set<ContentPart.Kind> kinds = EnumSet.noneOf(ContentPart.Kind.class);
         turns.forEach(turn -> turn.parts().forEach(part -> kinds.add(part.kind())));
         return kinds;
     }
--- a/src/main/java/dunlinladder/dialect/Faults.java
+++ b/src/main/java/dunlinladder/apiformat/ErrorTranslator.java
@@ -1,9 +1,9 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlinladder.dialect.Fault.Kind;
+import dunlinladder.apiformat.ApiError.Kind;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -12,7 +12,7 @@
  * Errors of each format, both ways, as tables. What an engine's error means for the request is one of three: served,
  * refused (it never ran, and asking again is harmless) or failed.
  */
-public final class Faults {
+public final class ErrorTranslator {
 
     /** What an engine's error means for the request. */
     public enum Verdict {
@@ -94,7 +94,7 @@
         words(Kind.INTERNAL, 500, "server_error", "internal_error", "api_error");
     }
 
-    private Faults() {}
+    private ErrorTranslator() {}
 
     private static void words(Kind kind, int status, String type, String code, String blocks) {
         OPEN.put(kind, new Words(status, type, code));
@@ -102,12 +102,12 @@
     }
 
     /** The status with which a fault is told in the head of an answer. */
-    public static int status(Format to, Kind kind) {
+    public static int status(ApiFormat to, Kind kind) {
         return words(to, kind).status;
     }
 
-    private static Words words(Format to, Kind kind) {
-        return (to == Format.MESSAGES ? BLOCKS : OPEN).get(kind);
+    private static Words words(ApiFormat to, Kind kind) {
+        return (to == ApiFormat.MESSAGES ? BLOCKS : OPEN).get(kind);
     }
 
     private static Row row(int status, JsonNode error) {
@@ -132,7 +132,7 @@
      * What an engine's error is to the client. {@code status} is that of the head, 0 for an error in the midst of a
      * stream; {@code body} may be null.
      */
-    public static Fault read(int status, JsonNode body) {
+    public static ApiError read(int status, JsonNode body) {
         JsonNode error = error(body);
         Row row = row(status, error);
         // What an engine says of its own keys, limits and paths is nothing to the client.
@@ -143,7 +143,7 @@
                     case TIMEOUT -> "no answer in time";
                     default -> "the model's server failed";
                 };
-        return new Fault(
+        return new ApiError(
                 row.kind == Kind.NOT_FOUND ? Kind.SERVER : row.kind,
                 message,
                 row.mine ? error.path("param").asText(null) : null);
@@ -153,8 +153,8 @@
      * The fault that an engine's answer finds in the request itself; null where it finds none. A limit, a missing model
      * or a failure is none.
      */
-    public static Fault rejection(int status, String body) {
-        JsonNode node = Pieces.lenient(body);
+    public static ApiError rejection(int status, String body) {
+        JsonNode node = StrictJson.lenient(body);
         boolean client = status >= 400 && status < 500;
         return client && ofTheRequest(status, node) ? read(status, node) : null;
     }
@@ -182,10 +182,10 @@
     }
 
     /** The body of an error in a client's format. */
-    public static ObjectNode write(Format to, Fault fault) {
+    public static ObjectNode write(ApiFormat to, ApiError fault) {
         Words words = words(to, fault.kind());
         ObjectNode body = JSON.objectNode();
-        if (to == Format.MESSAGES) {
+        if (to == ApiFormat.MESSAGES) {
             body.put("type", "error").putObject("error").put("type", words.type).put("message", fault.message());
             return body;
         }
@@ -202,7 +202,7 @@
         StringBuilder page = new StringBuilder("""
                 # What becomes of each error
 
-                Printed by `dunlinladder.dialect.Faults` from the tables that the program carries out; a test
+                Printed by `dunlinladder.apiformat.ErrorTranslator` from the tables that the program carries out; a test
                 holds this page against them.
 
                 ## From engines
--- a/src/main/java/dunlinladder/dialect/Turn.java
+++ b/src/main/java/dunlinladder/apiformat/Message.java
@@ -1,9 +1,9 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import java.util.List;
 
 /** One message of a conversation; {@code name} of its author may be null. */
-public record Turn(Role role, List<Part> parts, String name) {
+public record Message(Role role, List<ContentPart> parts, String name) {
 
     /** Who speaks. */
     public enum Role {
@@ -14,19 +14,19 @@
     }
 
     /** Copies the parts. */
-    public Turn {
+    public Message {
         parts = List.copyOf(parts);
     }
 
     /** Its text parts, one after the other. */
     public String text() {
         StringBuilder text = new StringBuilder();
-        for (Part part : parts) {
-            if (part instanceof Part.Text piece) {
+        for (ContentPart part : parts) {
+            if (part instanceof ContentPart.Text piece) {
                 text.append(piece.text());
-            } else if (part instanceof Part.Result result) {
+            } else if (part instanceof ContentPart.Result result) {
                 text.append(result.text());
-            } else if (part instanceof Part.Refusal refusal) {
+            } else if (part instanceof ContentPart.Refusal refusal) {
                 text.append(refusal.text());
             }
         }
--- a/src/main/java/dunlinladder/dialect/Shape.java
+++ b/src/main/java/dunlinladder/apiformat/ParameterCodec.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -15,7 +15,7 @@
  * How one format writes a setting: what it allows, and the way to the neutral shape and back. Each throws
  * {@link IllegalArgumentException} with the reason for a value that it does not allow.
  */
-record Shape(
+record ParameterCodec(
         String wants,
         Predicate<JsonNode> allows,
         UnaryOperator<JsonNode> toNeutral,
@@ -23,36 +23,37 @@
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
-    static final Shape TEXT = same("a string", JsonNode::isTextual);
-    static final Shape FLAG = same("true or false", JsonNode::isBoolean);
-    static final Shape COUNT = same("a whole number from 1 on", node -> node.isIntegralNumber() && node.asLong() >= 1);
-    static final Shape WHOLE = same("a whole number", JsonNode::isIntegralNumber);
-    static final Shape NUMBER = same("a number", JsonNode::isNumber);
-    static final Shape SHARE =
+    static final ParameterCodec TEXT = same("a string", JsonNode::isTextual);
+    static final ParameterCodec FLAG = same("true or false", JsonNode::isBoolean);
+    static final ParameterCodec COUNT =
+            same("a whole number from 1 on", node -> node.isIntegralNumber() && node.asLong() >= 1);
+    static final ParameterCodec WHOLE = same("a whole number", JsonNode::isIntegralNumber);
+    static final ParameterCodec NUMBER = same("a number", JsonNode::isNumber);
+    static final ParameterCodec SHARE =
             same("a number from 0 to 1", node -> node.isNumber() && node.asDouble() >= 0 && node.asDouble() <= 1);
-    static final Shape HEAT =
+    static final ParameterCodec HEAT =
             same("a number from 0 to 2", node -> node.isNumber() && node.asDouble() >= 0 && node.asDouble() <= 2);
-    static final Shape OBJECT = same("an object", JsonNode::isObject);
-    static final Shape LIST = same("a list", JsonNode::isArray);
-    static final Shape ANY = same("a value", node -> true);
+    static final ParameterCodec OBJECT = same("an object", JsonNode::isObject);
+    static final ParameterCodec LIST = same("a list", JsonNode::isArray);
+    static final ParameterCodec ANY = same("a value", node -> true);
 
     /** A temperature of at most 1: what another format allows beyond that is cut. */
-    static final Shape MILD =
-            new Shape(SHARE.wants, SHARE.allows, node -> node, node -> node.asDouble() > 1 ? IntNode.valueOf(1) : node);
+    static final ParameterCodec MILD = new ParameterCodec(
+            SHARE.wants, SHARE.allows, node -> node, node -> node.asDouble() > 1 ? IntNode.valueOf(1) : node);
 
     /** One stop sequence or a list of them; a list in neutral shape. */
-    static final Shape STOPS = new Shape(
+    static final ParameterCodec STOPS = new ParameterCodec(
             "a string or a list of strings",
             node -> node.isTextual() || node.isArray() && all(node, JsonNode::isTextual),
             node -> node.isTextual() ? JSON.arrayNode().add(node) : node,
             node -> node);
 
     /** The number of alternatives as the legacy text API gives it, from 0. */
-    static final Shape ALTERNATIVES = same(
+    static final ParameterCodec ALTERNATIVES = same(
             "a whole number from 0 to 20", node -> node.isIntegralNumber() && node.asInt() >= 0 && node.asInt() <= 20);
 
     /** Tools with their function one level down. */
-    static final Shape CHAT_TOOLS = new Shape(
+    static final ParameterCodec CHAT_TOOLS = new ParameterCodec(
             "a list of function tools",
             node -> node.isArray()
                     && all(
@@ -62,13 +63,13 @@
             node -> map(node, tool -> tool.get("function")),
             node -> map(node, tool -> JSON.objectNode().put("type", "function").set("function", tool)));
     /** Functions by the older name. */
-    static final Shape FUNCTIONS = new Shape(
+    static final ParameterCodec FUNCTIONS = new ParameterCodec(
             "a list of functions",
             node -> node.isArray() && all(node, tool -> tool.path("name").isTextual()),
             node -> node,
             node -> node);
     /** Tools whose fields lie beside their type. */
-    static final Shape FLAT_TOOLS = new Shape(
+    static final ParameterCodec FLAT_TOOLS = new ParameterCodec(
             "a list of function tools",
             node -> node.isArray()
                     && all(
@@ -78,7 +79,7 @@
             node -> map(node, tool -> ((ObjectNode) tool.deepCopy()).without("type")),
             node -> map(node, tool -> JSON.objectNode().put("type", "function").setAll((ObjectNode) tool.deepCopy())));
     /** Tools with their schema by another name. */
-    static final Shape SCHEMA_TOOLS = new Shape(
+    static final ParameterCodec SCHEMA_TOOLS = new ParameterCodec(
             "a list of tools with name and input_schema",
             node -> node.isArray()
                     && all(
@@ -98,7 +99,7 @@
             }));
 
     /** {@code auto}, {@code none}, {@code required}, or the tool's name in an object, as neutral. */
-    static final Shape CHAT_CHOICE = choice(
+    static final ParameterCodec CHAT_CHOICE = choice(
             node -> node.path("type").asText().equals("function")
                     ? node.path("function").path("name")
                     : null,
@@ -106,12 +107,12 @@
                     .put("type", "function")
                     .set("function", JSON.objectNode().put("name", name)));
 
-    static final Shape OLD_CHOICE =
+    static final ParameterCodec OLD_CHOICE =
             choice(node -> node.path("name"), name -> JSON.objectNode().put("name", name));
-    static final Shape FLAT_CHOICE = choice(
+    static final ParameterCodec FLAT_CHOICE = choice(
             node -> node.path("type").asText().equals("function") ? node.path("name") : null,
             name -> JSON.objectNode().put("type", "function").put("name", name));
-    static final Shape TYPED_CHOICE = new Shape(
+    static final ParameterCodec TYPED_CHOICE = new ParameterCodec(
             "an object whose type is auto, any, tool or none",
             node -> switch (node.path("type").asText()) {
                 case "auto", "any", "none" -> true;
@@ -130,16 +131,16 @@
                     : JSON.objectNode().put("type", node.asText().equals("required") ? "any" : node.asText()));
 
     /** Whether calls beside each other are barred: the opposite of the neutral flag. */
-    static final Shape NOT = new Shape(
+    static final ParameterCodec NOT = new ParameterCodec(
             FLAG.wants,
             FLAG.allows,
             node -> BooleanNode.valueOf(!node.asBoolean()),
             node -> BooleanNode.valueOf(!node.asBoolean()));
 
     /** An output format with the schema one level down; neutral has it beside the type. */
-    static final Shape NESTED_FORMAT = new Shape(
+    static final ParameterCodec NESTED_FORMAT = new ParameterCodec(
             "an object whose type is text, json_object or json_schema",
-            Shape::isFormat,
+            ParameterCodec::isFormat,
             node -> node.has("json_schema")
                     ? ((ObjectNode) JSON.objectNode().put("type", "json_schema"))
                             .setAll((ObjectNode) node.get("json_schema").deepCopy())
@@ -150,13 +151,14 @@
                             .set("json_schema", ((ObjectNode) node.deepCopy()).without("type"))
                     : node);
 
-    static final Shape FLAT_FORMAT = new Shape(NESTED_FORMAT.wants, Shape::isFormat, node -> node, node -> node);
+    static final ParameterCodec FLAT_FORMAT =
+            new ParameterCodec(NESTED_FORMAT.wants, ParameterCodec::isFormat, node -> node, node -> node);
 
-    static final Shape EFFORT = same(
+    static final ParameterCodec EFFORT = same(
             "one of none, minimal, low, medium, high, xhigh",
             node -> node.asText().matches("none|minimal|low|medium|high|xhigh"));
     /** Reasoning by a number of tokens. */
-    static final Shape THINKING = new Shape(
+    static final ParameterCodec THINKING = new ParameterCodec(
             "an object of type enabled, with budget_tokens, or disabled",
             node -> node.path("type").asText().equals("disabled")
                     || node.path("type").asText().equals("enabled")
@@ -178,13 +180,13 @@
         return JSON.objectNode().put("type", "enabled").put("budget_tokens", tokens);
     }
 
-    private static Shape same(String wants, Predicate<JsonNode> allows) {
-        return new Shape(wants, allows, node -> node, node -> node);
+    private static ParameterCodec same(String wants, Predicate<JsonNode> allows) {
+        return new ParameterCodec(wants, allows, node -> node, node -> node);
     }
 
     /** A choice of tools: words stay, a name is found and put in the format's own way. */
-    private static Shape choice(UnaryOperator<JsonNode> nameIn, Function<String, JsonNode> of) {
-        return new Shape(
+    private static ParameterCodec choice(UnaryOperator<JsonNode> nameIn, Function<String, JsonNode> of) {
+        return new ParameterCodec(
                 "auto, none, required or an object that names a function",
                 node -> node.isTextual()
                         ? node.asText().matches("auto|none|required")
--- a/src/main/java/dunlinladder/dialect/ReplyReader.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyDecoder.java
@@ -1,10 +1,10 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlinladder.dialect.ReplyEvent.Reason;
+import dunlinladder.apiformat.ReplyEvent.Reason;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -16,7 +16,7 @@
  * An engine's answer into the neutral model, event by event. What can't be understood is a {@link ReplyEvent.Failed} of
  * kind GARBLED; after that, and after the end, nothing counts.
  */
-public abstract class ReplyReader {
+public abstract class ReplyDecoder {
 
     private final List<ReplyEvent> out = new ArrayList<>();
     private final Map<String, int[]> open = new LinkedHashMap<>();
@@ -26,7 +26,7 @@
     private boolean over;
 
     /** The reader for a format. */
-    public static ReplyReader of(Format format) {
+    public static ReplyDecoder of(ApiFormat format) {
         return switch (format) {
             case COMPLETIONS -> new Text();
             case CHAT -> new Chat();
@@ -44,11 +44,11 @@
             done();
             return taken();
         }
-        JsonNode node = Pieces.lenient(data);
+        JsonNode node = StrictJson.lenient(data);
         if (node == null || !node.isObject()) {
             garbled("an event is not a JSON object");
         } else if (node.path("error").isObject() && !node.has("choices")) {
-            fail(Faults.read(0, node));
+            fail(ErrorTranslator.read(0, node));
         } else {
             read(node.path("type").asText(name == null ? "" : name), node);
         }
@@ -59,13 +59,13 @@
     public final List<ReplyEvent> whole(byte[] body) {
         JsonNode node;
         try {
-            node = Pieces.body(body);
-        } catch (Untranslatable e) {
+            node = StrictJson.body(body);
+        } catch (UntranslatableRequestException e) {
             garbled("the answer is not a JSON object");
             return taken();
         }
         if (node.path("error").isObject()) {
-            fail(Faults.read(0, node));
+            fail(ErrorTranslator.read(0, node));
         } else {
             wholeAnswer(node);
         }
@@ -109,7 +109,7 @@
         }
     }
 
-    final void open(int choice, String key, Part.Kind kind, String callId, String name) {
+    final void open(int choice, String key, ContentPart.Kind kind, String callId, String name) {
         if (!open.containsKey(key)) {
             int part = next.merge(choice, 1, Integer::sum) - 1;
             open.put(key, new int[] {choice, part});
@@ -169,13 +169,13 @@
         }
     }
 
-    final void fail(Fault fault) {
+    final void fail(ApiError fault) {
         over = true;
         out.add(new ReplyEvent.Failed(fault));
     }
 
     final void garbled(String what) {
-        fail(new Fault(Fault.Kind.GARBLED, what, null));
+        fail(new ApiError(ApiError.Kind.GARBLED, what, null));
     }
 
     /** A number that may be missing. */
@@ -192,7 +192,7 @@
     }
 
     /** Chat completions, whole or in chunks. */
-    private static final class Chat extends ReplyReader {
+    private static final class Chat extends ReplyDecoder {
 
         @Override
         void read(String type, JsonNode event) {
@@ -221,16 +221,16 @@
             int index = choice.path("index").asInt();
             String thought = textOf(delta, "reasoning_content");
             if (!thought.isEmpty()) {
-                piece(index, "thought", Part.Kind.THOUGHT, thought, null);
+                piece(index, "thought", ContentPart.Kind.THOUGHT, thought, null);
             }
             String text = textOf(delta, "content");
             JsonNode logprobs = nonNull(choice.path("logprobs").path("content"));
             if (!text.isEmpty() || logprobs != null) {
-                piece(index, "text", Part.Kind.TEXT, text, logprobs);
+                piece(index, "text", ContentPart.Kind.TEXT, text, logprobs);
             }
             String refusal = textOf(delta, "refusal");
             if (!refusal.isEmpty()) {
-                piece(index, "refusal", Part.Kind.REFUSAL, refusal, null);
+                piece(index, "refusal", ContentPart.Kind.REFUSAL, refusal, null);
             }
             int position = 0;
             for (JsonNode call : delta.path("tool_calls")) {
@@ -259,7 +259,7 @@
         }
 
         /** Words of one kind end when those of another, or a call, begin; calls may grow side by side. */
-        private void piece(int index, String key, Part.Kind kind, String text, JsonNode logprobs) {
+        private void piece(int index, String key, ContentPart.Kind kind, String text, JsonNode logprobs) {
             closeWords(index, key);
             open(index, index + key, kind, null, null);
             grow(index + key, text, logprobs);
@@ -280,7 +280,7 @@
                     garbled("a tool's call without id or name");
                     return;
                 }
-                open(index, key, Part.Kind.CALL, id, function.get("name").asText());
+                open(index, key, ContentPart.Kind.CALL, id, function.get("name").asText());
             }
             grow(key, textOf(function, "arguments"), null);
         }
@@ -300,7 +300,7 @@
     }
 
     /** The legacy text API. */
-    private static final class Text extends ReplyReader {
+    private static final class Text extends ReplyDecoder {
 
         @Override
         void read(String type, JsonNode event) {
@@ -310,7 +310,7 @@
                 String text = textOf(choice, "text");
                 JsonNode logprobs = nonNull(choice.path("logprobs"));
                 if (!text.isEmpty() || logprobs != null) {
-                    open(index, index + "text", Part.Kind.TEXT, null, null);
+                    open(index, index + "text", ContentPart.Kind.TEXT, null, null);
                     grow(index + "text", text, logprobs == null ? null : tokens(logprobs));
                 }
                 if (choice.path("finish_reason").isTextual()) {
@@ -363,7 +363,7 @@
     }
 
     /** Items and typed events. */
-    private static final class Responses extends ReplyReader {
+    private static final class Responses extends ReplyDecoder {
 
         private boolean calls;
         private boolean refused;
@@ -379,7 +379,7 @@
                 case "response.content_part.added" -> {
                     boolean refusal = event.path("part").path("type").asText().equals("refusal");
                     refused |= refusal;
-                    open(0, content, refusal ? Part.Kind.REFUSAL : Part.Kind.TEXT, null, null);
+                    open(0, content, refusal ? ContentPart.Kind.REFUSAL : ContentPart.Kind.TEXT, null, null);
                 }
                 case "response.output_text.delta" ->
                     grow(
@@ -407,8 +407,8 @@
                     }
                 }
                 case "response.completed", "response.incomplete" -> over(event.path("response"));
-                case "response.failed" -> fail(Faults.read(0, event.path("response")));
-                case "error" -> fail(Faults.read(0, event));
+                case "response.failed" -> fail(ErrorTranslator.read(0, event.path("response")));
+                case "error" -> fail(ErrorTranslator.read(0, event));
                 default -> {}
             }
         }
@@ -420,11 +420,11 @@
                     open(
                             0,
                             key,
-                            Part.Kind.CALL,
+                            ContentPart.Kind.CALL,
                             item.path("call_id").asText(item.path("id").asText()),
                             item.path("name").asText());
                 }
-                case "reasoning" -> open(0, key, Part.Kind.THOUGHT, null, null);
+                case "reasoning" -> open(0, key, ContentPart.Kind.THOUGHT, null, null);
                 default -> {}
             }
         }
@@ -432,7 +432,7 @@
         @Override
         void wholeAnswer(JsonNode body) {
             if (body.path("status").asText().equals("failed")) {
-                fail(Faults.read(0, body));
+                fail(ErrorTranslator.read(0, body));
                 return;
             }
             begin(body, "created_at");
@@ -445,7 +445,7 @@
                     boolean refusal = part.path("type").asText().equals("refusal");
                     refused |= refusal;
                     String inner = key + "/" + piece++;
-                    open(0, inner, refusal ? Part.Kind.REFUSAL : Part.Kind.TEXT, null, null);
+                    open(0, inner, refusal ? ContentPart.Kind.REFUSAL : ContentPart.Kind.TEXT, null, null);
                     grow(
                             inner,
                             textOf(part, refusal ? "refusal" : "text"),
@@ -488,7 +488,7 @@
     }
 
     /** Content blocks. */
-    private static final class Messages extends ReplyReader {
+    private static final class Messages extends ReplyDecoder {
 
         private long prompt = -1;
         private long cached = -1;
@@ -523,7 +523,7 @@
                     usage(prompt, cached, output, -1);
                     ends();
                 }
-                case "error" -> fail(Faults.read(0, event));
+                case "error" -> fail(ErrorTranslator.read(0, event));
                 default -> {}
             }
         }
@@ -534,16 +534,16 @@
                     open(
                             0,
                             key,
-                            Part.Kind.CALL,
+                            ContentPart.Kind.CALL,
                             block.path("id").asText(),
                             block.path("name").asText());
                 case "thinking", "redacted_thinking" -> {
-                    open(0, key, Part.Kind.THOUGHT, null, null);
+                    open(0, key, ContentPart.Kind.THOUGHT, null, null);
                     grow(key, textOf(block, "thinking"), null);
                     seal(key, block.path("data").asText(block.path("signature").asText(null)));
                 }
                 default -> {
-                    open(0, key, Part.Kind.TEXT, null, null);
+                    open(0, key, ContentPart.Kind.TEXT, null, null);
                     grow(key, textOf(block, "text"), null);
                 }
             }
--- a/src/main/java/dunlinladder/dialect/ReplyWriter.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyEncoder.java
@@ -1,10 +1,10 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlinladder.dialect.ReplyEvent.Reason;
+import dunlinladder.apiformat.ReplyEvent.Reason;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
  * An answer out of the neutral model in a client's format, as a stream or whole. What the client sees of the answer's
  * identity (id, model, time) is the gateway's and stays the same through the stream, whatever engine it comes from.
  */
-public abstract class ReplyWriter {
+public abstract class ReplyEncoder {
 
     static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
@@ -35,12 +35,12 @@
     private final StringBuilder out = new StringBuilder();
     ReplyEvent.Usage usage = new ReplyEvent.Usage(-1, -1, -1, -1);
 
-    ReplyWriter(Identity identity) {
+    ReplyEncoder(Identity identity) {
         this.identity = identity;
     }
 
     /** The writer for a format. */
-    public static ReplyWriter of(Format format, Identity identity) {
+    public static ReplyEncoder of(ApiFormat format, Identity identity) {
         return switch (format) {
             case COMPLETIONS -> new Text(identity);
             case CHAT -> new Chat(identity);
@@ -143,10 +143,10 @@
     }
 
     /** Chat completions. */
-    private static final class Chat extends ReplyWriter {
+    private static final class Chat extends ReplyEncoder {
 
         private final Map<Integer, Map<Integer, Integer>> calls = new HashMap<>();
-        private final Map<Integer, Map<Integer, Part.Kind>> kinds = new HashMap<>();
+        private final Map<Integer, Map<Integer, ContentPart.Kind>> kinds = new HashMap<>();
         private final Map<Integer, Boolean> begun = new HashMap<>();
 
         Chat(Identity identity) {
@@ -157,7 +157,7 @@
         void write(ReplyEvent event) {
             if (event instanceof ReplyEvent.Open open) {
                 kinds.computeIfAbsent(open.choice(), c -> new HashMap<>()).put(open.part(), open.kind());
-                if (open.kind() == Part.Kind.CALL) {
+                if (open.kind() == ContentPart.Kind.CALL) {
                     Map<Integer, Integer> known = calls.computeIfAbsent(open.choice(), c -> new HashMap<>());
                     known.put(open.part(), known.size());
                     ObjectNode delta = JSON.objectNode();
@@ -182,7 +182,7 @@
             } else if (event instanceof ReplyEvent.Finish finish) {
                 chunk(finish.choice(), JSON.objectNode(), null, reason(finish.reason(), identity.legacy));
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send(Faults.write(Format.CHAT, failed.fault()));
+                send(ErrorTranslator.write(ApiFormat.CHAT, failed.fault()));
             } else if (event instanceof ReplyEvent.End) {
                 if (identity.usage) {
                     ObjectNode last = envelope("chatcmpl-", "chat.completion.chunk");
@@ -293,9 +293,9 @@
     }
 
     /** The legacy text API: thoughts have no place in it, refusals are text. */
-    private static final class Text extends ReplyWriter {
+    private static final class Text extends ReplyEncoder {
 
-        private final Map<Integer, Map<Integer, Part.Kind>> kinds = new HashMap<>();
+        private final Map<Integer, Map<Integer, ContentPart.Kind>> kinds = new HashMap<>();
         private final Map<Integer, Boolean> echoed = new HashMap<>();
 
         Text(Identity identity) {
@@ -313,7 +313,7 @@
             } else if (event instanceof ReplyEvent.Finish finish) {
                 chunk(finish.choice(), "", null, reason(finish.reason()));
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send(Faults.write(Format.COMPLETIONS, failed.fault()));
+                send(ErrorTranslator.write(ApiFormat.COMPLETIONS, failed.fault()));
             } else if (event instanceof ReplyEvent.End) {
                 if (identity.usage) {
                     ObjectNode last = envelope("cmpl-", "text_completion");
@@ -325,8 +325,8 @@
             }
         }
 
-        private static boolean visible(Part.Kind kind) {
-            return kind == Part.Kind.TEXT || kind == Part.Kind.REFUSAL;
+        private static boolean visible(ContentPart.Kind kind) {
+            return kind == ContentPart.Kind.TEXT || kind == ContentPart.Kind.REFUSAL;
         }
 
         private void chunk(int choice, String text, JsonNode logprobs, String reason) {
@@ -388,7 +388,7 @@
     }
 
     /** Items and typed events; each event carries its number. */
-    private static final class Responses extends ReplyWriter {
+    private static final class Responses extends ReplyEncoder {
 
         private final Map<Integer, Piece> open = new HashMap<>();
         private final List<Piece> all = new ArrayList<>();
@@ -418,8 +418,8 @@
             } else if (event instanceof ReplyEvent.Finish finish) {
                 reason = finish.reason();
             } else if (event instanceof ReplyEvent.Failed failed) {
-                ObjectNode error = (ObjectNode)
-                        Faults.write(Format.RESPONSES, failed.fault()).get("error");
+                ObjectNode error = (ObjectNode) ErrorTranslator.write(ApiFormat.RESPONSES, failed.fault())
+                        .get("error");
                 if (begun) {
                     ObjectNode response = response("failed", all);
                     response.putObject("error")
@@ -468,7 +468,7 @@
                 emit(
                         "response.content_part.added",
                         at(opened.part(), itemId(piece)).put("content_index", 0).set("part", content(piece)));
-            } else if (opened.kind() == Part.Kind.THOUGHT) {
+            } else if (opened.kind() == ContentPart.Kind.THOUGHT) {
                 emit(
                         "response.reasoning_summary_part.added",
                         at(opened.part(), itemId(piece))
@@ -482,7 +482,7 @@
         }
 
         private static boolean isMessage(Piece piece) {
-            return piece.open.kind() == Part.Kind.TEXT || piece.open.kind() == Part.Kind.REFUSAL;
+            return piece.open.kind() == ContentPart.Kind.TEXT || piece.open.kind() == ContentPart.Kind.REFUSAL;
         }
 
         private void grow(ReplyEvent.Grow grow) {
@@ -526,7 +526,7 @@
                                                     .put("text", text)));
                 }
                 default -> {
-                    boolean refusal = piece.open.kind() == Part.Kind.REFUSAL;
+                    boolean refusal = piece.open.kind() == ContentPart.Kind.REFUSAL;
                     at.put("content_index", 0).put(refusal ? "refusal" : "text", text);
                     if (!refusal) {
                         at.set("logprobs", piece.logprobs);
@@ -543,7 +543,7 @@
         }
 
         private ObjectNode content(Piece piece) {
-            if (piece.open.kind() == Part.Kind.REFUSAL) {
+            if (piece.open.kind() == ContentPart.Kind.REFUSAL) {
                 return JSON.objectNode().put("type", "refusal").put("refusal", piece.text.toString());
             }
             ObjectNode node = JSON.objectNode().put("type", "output_text").put("text", piece.text.toString());
@@ -620,9 +620,9 @@
     }
 
     /** Content blocks. */
-    private static final class Messages extends ReplyWriter {
+    private static final class Messages extends ReplyEncoder {
 
-        private final Map<Integer, Part.Kind> kinds = new HashMap<>();
+        private final Map<Integer, ContentPart.Kind> kinds = new HashMap<>();
         private ReplyEvent.Finish finish;
         private boolean begun;
         /** The block that is open, -1 for none, and what waits for its end: blocks never overlap here. */
@@ -652,7 +652,7 @@
             } else if (event instanceof ReplyEvent.Finish told) {
                 finish = told;
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send("error", Faults.write(Format.MESSAGES, failed.fault()));
+                send("error", ErrorTranslator.write(ApiFormat.MESSAGES, failed.fault()));
             } else if (event instanceof ReplyEvent.End) {
                 ObjectNode last = JSON.objectNode().put("type", "message_delta");
                 last.putObject("delta")
@@ -783,7 +783,7 @@
                         block.put("type", "tool_use")
                                 .put("id", piece.open.callId())
                                 .put("name", piece.open.name())
-                                .set("input", Pieces.object(piece.text.toString(), "arguments"));
+                                .set("input", StrictJson.object(piece.text.toString(), "arguments"));
                     case THOUGHT ->
                         block.put("type", "thinking")
                                 .put("thinking", piece.text.toString())
--- a/src/main/java/dunlinladder/dialect/ReplyEvent.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyEvent.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -13,7 +13,7 @@
     record Begin(String id, String model, long created) implements ReplyEvent {}
 
     /** A part begins; {@code callId} and {@code name} are those of a tool's call, else null. */
-    record Open(int choice, int part, Part.Kind kind, String callId, String name) implements ReplyEvent {}
+    record Open(int choice, int part, ContentPart.Kind kind, String callId, String name) implements ReplyEvent {}
 
     /** A part grows by text: a call's arguments, a thought's words. {@code logprobs} may be null. */
     record Grow(int choice, int part, String text, JsonNode logprobs) implements ReplyEvent {}
@@ -31,7 +31,7 @@
     record Usage(long prompt, long cached, long output, long reasoning) implements ReplyEvent {}
 
     /** The engine says that the answer failed. */
-    record Failed(Fault fault) implements ReplyEvent {}
+    record Failed(ApiError fault) implements ReplyEvent {}
 
     /** The engine says that the answer is whole. */
     record End() implements ReplyEvent {}
--- a/src/main/java/dunlinladder/dialect/Translation.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyTranslator.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.ByteBuffer;
@@ -10,21 +10,21 @@
  * One answer on its way from an engine's format to a client's: bytes of events in, text for the client out. Whole
  * answers are gathered and given at the end.
  */
-public final class Translation {
+public final class ReplyTranslator {
 
-    private final ReplyReader reader;
-    private final ReplyWriter writer;
+    private final ReplyDecoder reader;
+    private final ReplyEncoder writer;
     private final boolean stream;
-    private final EventReader cutter = new EventReader(this::event);
+    private final ServerSentEventReader cutter = new ServerSentEventReader(this::event);
     private final List<ReplyEvent> gathered = new ArrayList<>();
     private Consumer<String> out = text -> {};
-    private Fault fault;
+    private ApiError fault;
     private boolean whole;
 
     /** Creates the translation of one answer; {@code stream} tells whether the client wants events. */
-    public Translation(Format from, Format to, ReplyWriter.Identity identity, boolean stream) {
-        this.reader = ReplyReader.of(from);
-        this.writer = ReplyWriter.of(to, identity);
+    public ReplyTranslator(ApiFormat from, ApiFormat to, ReplyEncoder.Identity identity, boolean stream) {
+        this.reader = ReplyDecoder.of(from);
+        this.writer = ReplyEncoder.of(to, identity);
         this.stream = stream;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Tells the client that the answer broke off; only where something was given to it. */
-    public void fail(Fault why, Consumer<String> to) {
+    public void fail(ApiError why, Consumer<String> to) {
         out = to;
         event(new ReplyEvent.Failed(why));
     }
@@ -80,7 +80,7 @@
     }
 
     /** Why the answer failed; null where it did not. */
-    public Fault fault() {
+    public ApiError fault() {
         return fault;
     }
 
--- a/src/main/java/dunlinladder/dialect/Setting.java
+++ b/src/main/java/dunlinladder/apiformat/RequestParameter.java
@@ -1,13 +1,13 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Predicate;
 
 /**
  * What a request may ask for beside its conversation, whatever a format calls it. Each has one neutral shape (see
- * {@link Fields}), and says what is lost where a format has no field for it.
+ * {@link FieldTable}), and says what is lost where a format has no field for it.
  */
-public enum Setting {
+public enum RequestParameter {
     MODEL(Loss.REFUSE),
     STREAM(Loss.REFUSE, JsonNode::isBoolean),
     /** Whether a stream ends with its usage; the formats without the field always send it. */
@@ -70,11 +70,11 @@
     private final Loss loss;
     private final Predicate<JsonNode> idle;
 
-    Setting(Loss loss) {
+    RequestParameter(Loss loss) {
         this(loss, node -> false);
     }
 
-    Setting(Loss loss, Predicate<JsonNode> idle) {
+    RequestParameter(Loss loss, Predicate<JsonNode> idle) {
         this.loss = loss;
         this.idle = idle;
     }
--- a/src/main/java/dunlinladder/dialect/Requests.java
+++ b/src/main/java/dunlinladder/apiformat/RequestTranslator.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.IntNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlinladder.dialect.Table.Action;
+import dunlinladder.apiformat.TranslationTable.Action;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,10 +14,10 @@
 import java.util.Set;
 
 /**
- * Requests into the neutral model and out of it. What happens to a field is not decided here but in {@link Table},
- * which this class carries out.
+ * Requests into the neutral model and out of it. What happens to a field is not decided here but in
+ * {@link TranslationTable}, which this class carries out.
  */
-public final class Requests {
+public final class RequestTranslator {
 
     /** What an operator has done with fields that a format's table does not have. */
     public enum Unknown {
@@ -27,18 +27,18 @@
     }
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
-    /** Fields that hold the conversation, by format; their codec is {@link Turns}. */
-    private static final Map<Format, Set<String>> TALK = Map.of(
-            Format.COMPLETIONS,
+    /** Fields that hold the conversation, by format; their codec is {@link MessageCodec}. */
+    private static final Map<ApiFormat, Set<String>> TALK = Map.of(
+            ApiFormat.COMPLETIONS,
             Set.of("prompt"),
-            Format.CHAT,
+            ApiFormat.CHAT,
             Set.of("messages", "logprobs"),
-            Format.RESPONSES,
+            ApiFormat.RESPONSES,
             Set.of("input", "instructions"),
-            Format.MESSAGES,
+            ApiFormat.MESSAGES,
             Set.of("messages", "system"));
 
-    private Requests() {}
+    private RequestTranslator() {}
 
     /**
      * Reads a request.
@@ -46,18 +46,18 @@
      * @param warnings gets a line for each field that is left out
      * @throws Untranslatable where a field is malformed, or unknown and refused
      */
-    public static Conversation read(Format from, JsonNode body, Unknown unknown, List<String> warnings) {
+    public static Conversation read(ApiFormat from, JsonNode body, Unknown unknown, List<String> warnings) {
         if (body == null || !body.isObject()) {
-            throw Untranslatable.malformed("body", "must be a JSON object");
+            throw UntranslatableRequestException.malformed("body", "must be a JSON object");
         }
-        Map<Setting, JsonNode> settings = new EnumMap<>(Setting.class);
+        Map<RequestParameter, JsonNode> settings = new EnumMap<>(RequestParameter.class);
         Map<String, JsonNode> others = new LinkedHashMap<>();
         boolean[] legacy = {body.has("functions") && !body.has("tools")};
         body.fields().forEachRemaining(entry -> {
             String name = entry.getKey();
             JsonNode value = entry.getValue();
-            Fields.Field field = Fields.find(from, name);
-            boolean holds = Fields.holds(from, name);
+            FieldTable.Field field = FieldTable.find(from, name);
+            boolean holds = FieldTable.holds(from, name);
             if (value.isNull() || TALK.get(from).contains(name)) {
                 return;
             }
@@ -66,10 +66,10 @@
             }
             if (holds) {
                 if (!value.isObject()) {
-                    throw Untranslatable.malformed(name, "must be an object");
+                    throw UntranslatableRequestException.malformed(name, "must be an object");
                 }
                 value.fields().forEachRemaining(inner -> {
-                    Fields.Field nested = Fields.find(from, name + "." + inner.getKey());
+                    FieldTable.Field nested = FieldTable.find(from, name + "." + inner.getKey());
                     if (nested != null && !inner.getValue().isNull()) {
                         take(nested, inner.getValue(), settings);
                     } else if (nested == null && field == null) {
@@ -80,29 +80,32 @@
                 others.put(name, value);
             }
         });
-        if (from == Format.CHAT && body.path("logprobs").asBoolean() && !settings.containsKey(Setting.LOGPROBS)) {
-            settings.put(Setting.LOGPROBS, IntNode.valueOf(0));
+        if (from == ApiFormat.CHAT
+                && body.path("logprobs").asBoolean()
+                && !settings.containsKey(RequestParameter.LOGPROBS)) {
+            settings.put(RequestParameter.LOGPROBS, IntNode.valueOf(0));
         }
-        if (!settings.containsKey(Setting.MODEL)) {
-            throw Untranslatable.malformed("model", "is missing");
+        if (!settings.containsKey(RequestParameter.MODEL)) {
+            throw UntranslatableRequestException.malformed("model", "is missing");
         }
-        if (from == Format.MESSAGES && !settings.containsKey(Setting.MAX_OUTPUT)) {
-            throw Untranslatable.malformed("max_tokens", "is missing");
+        if (from == ApiFormat.MESSAGES && !settings.containsKey(RequestParameter.MAX_OUTPUT)) {
+            throw UntranslatableRequestException.malformed("max_tokens", "is missing");
         }
         if (unknown == Unknown.REFUSE && !others.isEmpty()) {
-            throw Untranslatable.malformed(others.keySet().iterator().next(), "is not known");
+            throw UntranslatableRequestException.malformed(
+                    others.keySet().iterator().next(), "is not known");
         }
         if (unknown == Unknown.DROP) {
             others.keySet().forEach(name -> warnings.add(name + " is not known and was left out"));
             others.clear();
         }
-        return new Conversation(from, settings, Turns.read(from, body), others, legacy[0]);
+        return new Conversation(from, settings, MessageCodec.read(from, body), others, legacy[0]);
     }
 
     /** An older name gives way to the newer one beside it. */
-    private static void take(Fields.Field field, JsonNode value, Map<Setting, JsonNode> settings) {
+    private static void take(FieldTable.Field field, JsonNode value, Map<RequestParameter, JsonNode> settings) {
         if (!field.shape().allows().test(value)) {
-            throw Untranslatable.malformed(
+            throw UntranslatableRequestException.malformed(
                     field.path(), "must be " + field.shape().wants());
         }
         JsonNode neutral = field.shape().toNeutral().apply(value);
@@ -120,34 +123,34 @@
      * @param warnings gets a line for each field that is left out
      * @throws Untranslatable naming the client's field that the format lacks
      */
-    public static ObjectNode write(Format to, Conversation talk, long mostOutput, List<String> warnings) {
-        Table table = Table.of(talk.from(), to);
+    public static ObjectNode write(ApiFormat to, Conversation talk, long mostOutput, List<String> warnings) {
+        TranslationTable table = TranslationTable.of(talk.from(), to);
         ObjectNode body = JSON.objectNode();
         talk.settings().forEach((setting, value) -> {
             Action action = table.action(setting);
-            if (setting == Setting.EFFORT && to == Format.MESSAGES && !fits(value, talk)) {
+            if (setting == RequestParameter.EFFORT && to == ApiFormat.MESSAGES && !fits(value, talk)) {
                 warnings.add(name(talk, setting) + " needs more room than max_tokens leaves and was left out");
             } else if (action == Action.CARRIED || action == Action.CONVERTED) {
-                Fields.Field field = Fields.find(to, setting);
+                FieldTable.Field field = FieldTable.find(to, setting);
                 place(body, field.path(), field.shape().fromNeutral().apply(value));
             } else if (action == Action.REFUSED && !setting.idle(value)) {
-                throw Untranslatable.lacking(name(talk, setting), to);
+                throw UntranslatableRequestException.lacking(name(talk, setting), to);
             } else if (action == Action.DROPPED && !setting.idle(value)) {
                 warnings.add(name(talk, setting) + " is not known to the model's servers and was left out");
             }
         });
-        if (to == Format.MESSAGES && !body.has("max_tokens")) {
+        if (to == ApiFormat.MESSAGES && !body.has("max_tokens")) {
             body.put("max_tokens", mostOutput);
         }
-        if (to == Format.MESSAGES
+        if (to == ApiFormat.MESSAGES
                 && body.path("tool_choice").size() == 1
                 && body.path("tool_choice").has("disable_parallel_tool_use")) {
             ((ObjectNode) body.get("tool_choice")).put("type", "auto");
         }
-        if (to == Format.CHAT && talk.get(Setting.LOGPROBS) != null) {
+        if (to == ApiFormat.CHAT && talk.get(RequestParameter.LOGPROBS) != null) {
             body.set("logprobs", BooleanNode.TRUE);
         }
-        if (to == Format.RESPONSES && talk.get(Setting.LOGPROBS) != null) {
+        if (to == ApiFormat.RESPONSES && talk.get(RequestParameter.LOGPROBS) != null) {
             ArrayNode include = JSON.arrayNode();
             if (body.get("include") instanceof ArrayNode given) {
                 given.forEach(each -> include.add(each));
@@ -157,14 +160,14 @@
             }
             body.set("include", include);
         }
-        if (to == Format.RESPONSES && talk.from() != Format.RESPONSES) {
+        if (to == ApiFormat.RESPONSES && talk.from() != ApiFormat.RESPONSES) {
             // The other formats keep nothing between requests.
             if (!body.has("store")) {
                 body.put("store", false);
             }
         }
         talk.unknown().forEach((path, value) -> place(body, path, value));
-        Turns.write(to, talk, body, warnings);
+        MessageCodec.write(to, talk, body, warnings);
         return body;
     }
 
@@ -172,17 +175,17 @@
      * The client's field that a format can't express; null where it can express all. Nothing is written, so that it may
      * be asked for each format and request.
      */
-    public static String lacking(Format to, Conversation talk) {
-        Table table = Table.of(talk.from(), to);
-        for (Map.Entry<Setting, JsonNode> entry : talk.settings().entrySet()) {
+    public static String lacking(ApiFormat to, Conversation talk) {
+        TranslationTable table = TranslationTable.of(talk.from(), to);
+        for (Map.Entry<RequestParameter, JsonNode> entry : talk.settings().entrySet()) {
             if (table.action(entry.getKey()) == Action.REFUSED
                     && !entry.getKey().idle(entry.getValue())) {
                 return name(talk, entry.getKey());
             }
         }
-        for (Part.Kind kind : talk.kinds()) {
+        for (ContentPart.Kind kind : talk.kinds()) {
             if (table.action(kind) == Action.REFUSED) {
-                return Turns.named(talk.from(), kind);
+                return MessageCodec.named(talk.from(), kind);
             }
         }
         return null;
@@ -199,14 +202,14 @@
 
     /** Reasoning by tokens must leave room for the answer. */
     private static boolean fits(JsonNode effort, Conversation talk) {
-        JsonNode thinking = Shape.THINKING.fromNeutral().apply(effort);
+        JsonNode thinking = ParameterCodec.THINKING.fromNeutral().apply(effort);
         return !thinking.has("budget_tokens")
-                || thinking.path("budget_tokens").asInt() < talk.number(Setting.MAX_OUTPUT, 0);
+                || thinking.path("budget_tokens").asInt() < talk.number(RequestParameter.MAX_OUTPUT, 0);
     }
 
     /** A setting's name in the client's format, for messages to it. */
-    private static String name(Conversation talk, Setting setting) {
-        Fields.Field field = Fields.find(talk.from(), setting);
+    private static String name(Conversation talk, RequestParameter setting) {
+        FieldTable.Field field = FieldTable.find(talk.from(), setting);
         return field == null ? setting.name() : field.path();
     }
 
--- a/src/main/java/dunlinladder/dialect/EventReader.java
+++ b/src/main/java/dunlinladder/apiformat/ServerSentEventReader.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -10,7 +10,7 @@
  * has none, and its data; comments and other fields are passed over, and an event that the stream's end cuts off is
  * none.
  */
-public final class EventReader {
+public final class ServerSentEventReader {
 
     private final BiConsumer<String, String> events;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -20,7 +20,7 @@
     private boolean afterReturn;
 
     /** Creates a reader that hands each event on. */
-    public EventReader(BiConsumer<String, String> events) {
+    public ServerSentEventReader(BiConsumer<String, String> events) {
         this.events = events;
     }
 
--- a/src/main/java/dunlinladder/dialect/Pieces.java
+++ b/src/main/java/dunlinladder/apiformat/StrictJson.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -10,7 +10,7 @@
 import java.io.IOException;
 
 /** JSON as the formats want it read: bounded in depth, and with nothing behind the value. */
-public final class Pieces {
+public final class StrictJson {
 
     /** Deepest nesting that is read; a body nested deeper is malformed. */
     public static final int DEPTH = 100;
@@ -22,22 +22,22 @@
                     .build())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private Pieces() {}
+    private StrictJson() {}
 
-    /** A body's object; {@link Untranslatable} where it is none. */
+    /** A body's object; {@link UntranslatableRequestException} where it is none. */
     public static JsonNode body(byte[] content) {
         try {
             JsonNode node = MAPPER.readTree(content);
             if (node == null || !node.isObject()) {
-                throw Untranslatable.malformed("body", "must be a JSON object");
+                throw UntranslatableRequestException.malformed("body", "must be a JSON object");
             }
             return node;
         } catch (IOException e) {
-            throw Untranslatable.malformed("body", "is not JSON, or nested over " + DEPTH + " deep");
+            throw UntranslatableRequestException.malformed("body", "is not JSON, or nested over " + DEPTH + " deep");
         }
     }
 
-    /** Text that must hold an object; {@link Untranslatable} names the field where it does not. */
+    /** Text that must hold an object; {@link UntranslatableRequestException} names the field where it does not. */
     static ObjectNode object(String text, String field) {
         try {
             if (MAPPER.readTree(text.isBlank() ? "{}" : text) instanceof ObjectNode object) {
@@ -46,7 +46,7 @@
         } catch (JsonProcessingException e) {
             // Said below.
         }
-        throw Untranslatable.malformed(field, "must be a JSON object as text");
+        throw UntranslatableRequestException.malformed(field, "must be a JSON object as text");
     }
 
     /** A server's JSON, which may be anything; null where it is none. */
--- a/src/main/java/dunlinladder/dialect/Table.java
+++ b/src/main/java/dunlinladder/apiformat/TranslationTable.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import java.util.EnumMap;
 import java.util.EnumSet;
@@ -7,10 +7,11 @@
 import java.util.Set;
 
 /**
- * What becomes of each field and each kind of part from one format to another: made from {@link Fields} and
- * {@link Setting}, carried out by {@link Requests} and {@link Turns}, and printed into the docs.
+ * What becomes of each field and each kind of part from one format to another: made from {@link FieldTable} and
+ * {@link RequestParameter}, carried out by {@link RequestTranslator} and {@link MessageCodec}, and printed into the
+ * docs.
  */
-public final class Table {
+public final class TranslationTable {
 
     /** What becomes of a field. */
     public enum Action {
@@ -28,49 +29,49 @@
         ABSENT
     }
 
-    private static final Map<Part.Kind, Set<Format>> CARRY = new EnumMap<>(Part.Kind.class);
-    private static final Map<Format, Map<Format, Table>> TABLES = new EnumMap<>(Format.class);
+    private static final Map<ContentPart.Kind, Set<ApiFormat>> CARRY = new EnumMap<>(ContentPart.Kind.class);
+    private static final Map<ApiFormat, Map<ApiFormat, TranslationTable>> TABLES = new EnumMap<>(ApiFormat.class);
 
     static {
-        CARRY.put(Part.Kind.TEXT, EnumSet.allOf(Format.class));
-        CARRY.put(Part.Kind.IMAGE, EnumSet.of(Format.CHAT, Format.RESPONSES, Format.MESSAGES));
-        CARRY.put(Part.Kind.AUDIO, EnumSet.of(Format.CHAT));
-        CARRY.put(Part.Kind.FILE, EnumSet.of(Format.CHAT, Format.RESPONSES, Format.MESSAGES));
-        CARRY.put(Part.Kind.CALL, EnumSet.of(Format.CHAT, Format.RESPONSES, Format.MESSAGES));
-        CARRY.put(Part.Kind.RESULT, EnumSet.of(Format.CHAT, Format.RESPONSES, Format.MESSAGES));
-        CARRY.put(Part.Kind.THOUGHT, EnumSet.of(Format.RESPONSES, Format.MESSAGES));
-        CARRY.put(Part.Kind.REFUSAL, EnumSet.of(Format.CHAT, Format.RESPONSES));
-        for (Format from : Format.values()) {
-            TABLES.put(from, new EnumMap<>(Format.class));
-            for (Format to : Format.values()) {
-                TABLES.get(from).put(to, new Table(from, to));
+        CARRY.put(ContentPart.Kind.TEXT, EnumSet.allOf(ApiFormat.class));
+        CARRY.put(ContentPart.Kind.IMAGE, EnumSet.of(ApiFormat.CHAT, ApiFormat.RESPONSES, ApiFormat.MESSAGES));
+        CARRY.put(ContentPart.Kind.AUDIO, EnumSet.of(ApiFormat.CHAT));
+        CARRY.put(ContentPart.Kind.FILE, EnumSet.of(ApiFormat.CHAT, ApiFormat.RESPONSES, ApiFormat.MESSAGES));
+        CARRY.put(ContentPart.Kind.CALL, EnumSet.of(ApiFormat.CHAT, ApiFormat.RESPONSES, ApiFormat.MESSAGES));
+        CARRY.put(ContentPart.Kind.RESULT, EnumSet.of(ApiFormat.CHAT, ApiFormat.RESPONSES, ApiFormat.MESSAGES));
+        CARRY.put(ContentPart.Kind.THOUGHT, EnumSet.of(ApiFormat.RESPONSES, ApiFormat.MESSAGES));
+        CARRY.put(ContentPart.Kind.REFUSAL, EnumSet.of(ApiFormat.CHAT, ApiFormat.RESPONSES));
+        for (ApiFormat from : ApiFormat.values()) {
+            TABLES.put(from, new EnumMap<>(ApiFormat.class));
+            for (ApiFormat to : ApiFormat.values()) {
+                TABLES.get(from).put(to, new TranslationTable(from, to));
             }
         }
     }
 
-    private final Map<Setting, Action> settings = new EnumMap<>(Setting.class);
-    private final Map<Part.Kind, Action> parts = new EnumMap<>(Part.Kind.class);
+    private final Map<RequestParameter, Action> settings = new EnumMap<>(RequestParameter.class);
+    private final Map<ContentPart.Kind, Action> parts = new EnumMap<>(ContentPart.Kind.class);
 
-    private Table(Format from, Format to) {
-        for (Setting setting : Setting.values()) {
+    private TranslationTable(ApiFormat from, ApiFormat to) {
+        for (RequestParameter setting : RequestParameter.values()) {
             settings.put(setting, action(setting, from, to));
         }
-        for (Part.Kind kind : Part.Kind.values()) {
+        for (ContentPart.Kind kind : ContentPart.Kind.values()) {
             parts.put(
                     kind,
                     !CARRY.get(kind).contains(from)
                             ? Action.ABSENT
                             : CARRY.get(kind).contains(to)
                                     ? from == to ? Action.CARRIED : Action.CONVERTED
-                                    : kind == Part.Kind.THOUGHT
+                                    : kind == ContentPart.Kind.THOUGHT
                                             ? Action.DROPPED
-                                            : kind == Part.Kind.REFUSAL ? Action.CONVERTED : Action.REFUSED);
+                                            : kind == ContentPart.Kind.REFUSAL ? Action.CONVERTED : Action.REFUSED);
         }
     }
 
-    private static Action action(Setting setting, Format from, Format to) {
-        Fields.Field here = Fields.find(from, setting);
-        Fields.Field there = Fields.find(to, setting);
+    private static Action action(RequestParameter setting, ApiFormat from, ApiFormat to) {
+        FieldTable.Field here = FieldTable.find(from, setting);
+        FieldTable.Field there = FieldTable.find(to, setting);
         if (here == null) {
             return Action.ABSENT;
         }
@@ -87,17 +88,17 @@
     }
 
     /** The table from a client's format to an engine's. */
-    public static Table of(Format from, Format to) {
+    public static TranslationTable of(ApiFormat from, ApiFormat to) {
         return TABLES.get(from).get(to);
     }
 
     /** What becomes of a setting. */
-    public Action action(Setting setting) {
+    public Action action(RequestParameter setting) {
         return settings.get(setting);
     }
 
     /** What becomes of a kind of part. */
-    public Action action(Part.Kind kind) {
+    public Action action(ContentPart.Kind kind) {
         return parts.get(kind);
     }
 
@@ -106,7 +107,7 @@
         StringBuilder page = new StringBuilder("""
                 # What becomes of each field
 
-                Printed by `dunlinladder.dialect.Table` from the tables that the program carries out; a test
+                Printed by `dunlinladder.apiformat.TranslationTable` from the tables that the program carries out; a test
                 holds this page against them. A cell names the field in the engine's format and what becomes
                 of it on its way there. `dropped` comes with a warning header unless the value asks for
                 nothing (`n` of 1, say), `refused` with an error that names the field, `here` is done by the
@@ -114,22 +115,22 @@
                 Where `messages` needs a `max_tokens` that the client did not give, it gets the model's bound
                 from the operator's file.
                 """);
-        for (Format from : Format.values()) {
+        for (ApiFormat from : ApiFormat.values()) {
             page.append("\n## Requests in the format `").append(from.key()).append("`\n\n| field |");
-            for (Format to : Format.values()) {
+            for (ApiFormat to : ApiFormat.values()) {
                 page.append(" to `").append(to.key()).append("` |");
             }
             page.append("\n| --- |")
-                    .append(" --- |".repeat(Format.values().length))
+                    .append(" --- |".repeat(ApiFormat.values().length))
                     .append('\n');
-            for (Fields.Field field : Fields.of(from)) {
+            for (FieldTable.Field field : FieldTable.of(from)) {
                 page.append("| `")
                         .append(field.path())
                         .append('`')
                         .append(field.alias() ? " (older)" : "")
                         .append(" |");
-                for (Format to : Format.values()) {
-                    Fields.Field there = Fields.find(to, field.setting());
+                for (ApiFormat to : ApiFormat.values()) {
+                    FieldTable.Field there = FieldTable.find(to, field.setting());
                     Action action = of(from, to).action(field.setting());
                     page.append(there == null ? "" : " `" + there.path() + "`")
                             .append(' ')
@@ -141,12 +142,12 @@
                 }
                 page.append('\n');
             }
-            for (Part.Kind kind : Part.Kind.values()) {
+            for (ContentPart.Kind kind : ContentPart.Kind.values()) {
                 if (of(from, from).action(kind) != Action.ABSENT) {
                     page.append("| part ")
                             .append(kind.name().toLowerCase(Locale.ROOT))
                             .append(" |");
-                    for (Format to : Format.values()) {
+                    for (ApiFormat to : ApiFormat.values()) {
                         page.append(' ')
                                 .append(of(from, to).action(kind).name().toLowerCase(Locale.ROOT))
                                 .append(" |");
--- a/src/main/java/dunlinladder/core/Trail.java
+++ b/src/main/java/dunlinladder/core/AttemptHistory.java
@@ -10,7 +10,7 @@
  *
  * <p>Used by one thread at a time.
  */
-public final class Trail {
+public final class AttemptHistory {
 
     private final List<Entry> entries = new ArrayList<>(4);
 
--- a/src/main/java/dunlinladder/core/Dispatcher.java
+++ b/src/main/java/dunlinladder/core/Dispatcher.java
@@ -12,14 +12,14 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
 
-    private final Decider decider;
-    private final Engines engines;
-    private final EngineCalls calls;
+    private final RequestRouter decider;
+    private final EngineRegistry engines;
+    private final EngineTransport calls;
     private final Executor pool;
     private final Clock clock;
     private final Limits limits;
     private final Policy policy;
-    private final Map<String, Held> held = new ConcurrentHashMap<>();
+    private final Map<String, InFlightRequest> held = new ConcurrentHashMap<>();
 
     /** What the deployment says of classes and machine kinds. */
     public interface Policy {
@@ -32,22 +32,22 @@
     }
 
     /** What is kept of a request that is being driven. */
-    private static final class Held {
+    private static final class InFlightRequest {
         final Request request;
-        final Client client;
+        final ResponseSink client;
         /** Clock time at which it was taken. */
         final double takenAt;
 
-        EngineCalls.Call call;
+        EngineTransport.Call call;
         boolean gone;
 
-        Held(Request request, Client client, double takenAt) {
+        InFlightRequest(Request request, ResponseSink client, double takenAt) {
             this.request = request;
             this.client = client;
             this.takenAt = takenAt;
         }
 
-        synchronized void sent(EngineCalls.Call started) {
+        synchronized void sent(EngineTransport.Call started) {
             call = started;
             if (gone) {
                 started.abandon();
@@ -68,9 +68,9 @@
 
     /** Creates a dispatcher that drives each request on a thread of {@code pool}. */
     public Dispatcher(
-            Decider decider,
-            Engines engines,
-            EngineCalls calls,
+            RequestRouter decider,
+            EngineRegistry engines,
+            EngineTransport calls,
             Executor pool,
             Clock clock,
             Limits limits,
@@ -85,13 +85,13 @@
     }
 
     /** How many requests are being driven. */
-    public int active() {
+    public int activeRequests() {
         return held.size();
     }
 
     /** Takes a request; false when its id is in use, and then the client is told nothing. */
-    public boolean take(Request request, Client client) {
-        Held entry = new Held(request, client, clock.now());
+    public boolean submit(Request request, ResponseSink client) {
+        InFlightRequest entry = new InFlightRequest(request, client, clock.now());
         if (held.putIfAbsent(request.id(), entry) != null) {
             return false;
         }
@@ -103,48 +103,48 @@
         } catch (RejectedExecutionException e) {
             held.remove(request.id());
             LOG.warn("request {} refused: {}", request.id(), e.getMessage());
-            client.refuse(0);
+            client.reject(0);
         }
         return true;
     }
 
     /** The client closed its connection: ends the request and the attempt that is out. */
-    public void gone(String id) {
-        Held entry = held.get(id);
+    public void clientDisconnected(String id) {
+        InFlightRequest entry = held.get(id);
         if (entry != null) {
             entry.leave();
-            decider.gone(id);
+            decider.clientDisconnected(id);
         }
     }
 
-    private void drive(Held entry) {
+    private void drive(InFlightRequest entry) {
         Request request = entry.request;
         try {
             run(entry);
         } catch (InterruptedException | RuntimeException e) {
             // A fault of our own must not cost the client its final answer.
             LOG.error("request {} failed inside the gateway", request.id(), e);
-            decider.gone(request.id());
+            decider.clientDisconnected(request.id());
             entry.leave();
-            entry.client.fail(Client.Failure.INTERNAL);
+            entry.client.fail(ResponseSink.Failure.INTERNAL);
         } finally {
             held.remove(request.id());
         }
     }
 
-    private void run(Held entry) throws InterruptedException {
+    private void run(InFlightRequest entry) throws InterruptedException {
         Request request = entry.request;
-        Trail trail = new Trail();
+        AttemptHistory trail = new AttemptHistory();
         while (true) {
-            Step step = decider.pick(request);
-            if (step instanceof Step.Send send) {
+            RoutingDecision step = decider.nextDecision(request);
+            if (step instanceof RoutingDecision.Forward send) {
                 if (attempt(entry, trail, send)) {
                     return;
                 }
             } else {
-                if (step instanceof Step.Refuse refuse) {
+                if (step instanceof RoutingDecision.Reject refuse) {
                     refuse(entry, trail, refuse);
-                } else if (step instanceof Step.Fail) {
+                } else if (step instanceof RoutingDecision.Fail) {
                     LOG.debug(
                             "event=failed request={} class={} attempts={}",
                             request.id(),
@@ -158,7 +158,7 @@
     }
 
     /** Whether a request that must not run twice may have run. */
-    private boolean spent(Request request, Trail trail) {
+    private boolean spent(Request request, AttemptHistory trail) {
         return policy.once(request.serviceClass()) && trail.mayHaveRun();
     }
 
@@ -170,7 +170,7 @@
      * A refusal promises that asking again is harmless. It passes here alone, and only where the facts of all attempts
      * bear it out: else the request has failed, whatever the decisions made of it.
      */
-    private void refuse(Held entry, Trail trail, Step.Refuse refuse) {
+    private void refuse(InFlightRequest entry, AttemptHistory trail, RoutingDecision.Reject refuse) {
         Request request = entry.request;
         if (spent(request, trail)) {
             LOG.error(
@@ -181,18 +181,19 @@
             entry.client.fail(why(trail));
         } else {
             LOG.debug("event=refused request={} class={} attempts={}", request.id(), request.serviceClass(), trail);
-            entry.client.refuse(refuse.retryAfter());
+            entry.client.reject(refuse.retryAfter());
         }
     }
 
-    private static Client.Failure why(Trail trail) {
+    private static ResponseSink.Failure why(AttemptHistory trail) {
         return trail.last() != null && trail.last().ending() != Outcome.Ending.TIMEOUT
-                ? Client.Failure.ENGINE
-                : Client.Failure.TIMEOUT;
+                ? ResponseSink.Failure.ENGINE
+                : ResponseSink.Failure.TIMEOUT;
     }
 
     /** Makes one attempt; true when the request is over with it. */
-    private boolean attempt(Held entry, Trail trail, Step.Send send) throws InterruptedException {
+    private boolean attempt(InFlightRequest entry, AttemptHistory trail, RoutingDecision.Forward send)
+            throws InterruptedException {
         Request request = entry.request;
         Engine engine = engines.find(send.engine());
         // A client that hears nothing by its deadline asks again elsewhere: the answer must be there before.
@@ -221,7 +222,7 @@
         }
         boolean[] begun = {false};
         double[] firstAt = {0};
-        EngineCalls.Call call;
+        EngineTransport.Call call;
         try {
             call = calls.send(attempt, entry.client, () -> {
                 firstAt[0] = clock.now();
@@ -258,25 +259,25 @@
         boolean ok = outcome.ending() == Outcome.Ending.OK;
         boolean rejected = outcome.ending() == Outcome.Ending.REJECTED;
         boolean last = ok || begun[0] || rejected || entry.gone();
-        decider.ended(attempt, outcome, last);
+        decider.attemptEnded(attempt, outcome, last);
         if (last && !entry.gone()) {
             if (rejected) {
-                entry.client.fail(Client.Failure.REQUEST);
+                entry.client.fail(ResponseSink.Failure.REQUEST);
             } else if (ok) {
-                entry.client.end();
+                entry.client.complete();
             } else {
-                entry.client.cut();
+                entry.client.abortStream();
             }
         }
         return last;
     }
 
     /** Nothing of an attempt was sent; true when the request is over with it. */
-    private boolean unsent(Held entry, Trail trail, Attempt attempt) {
+    private boolean unsent(InFlightRequest entry, AttemptHistory trail, Attempt attempt) {
         boolean gone = entry.gone();
         Outcome outcome = Outcome.of(Outcome.Ending.CONNECT_FAILED);
         trail.ended(outcome, clock.now());
-        decider.ended(attempt, outcome, gone);
+        decider.attemptEnded(attempt, outcome, gone);
         return gone;
     }
 }
--- a/src/main/java/dunlinladder/core/Engines.java
+++ b/src/main/java/dunlinladder/core/EngineRegistry.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** The engine list as last told. */
-public final class Engines {
+public final class EngineRegistry {
 
     private final Map<String, Engine> byId = new ConcurrentHashMap<>();
 
     /** Takes news in; after a whole list, an engine that it lacks is gone. */
-    public void apply(Decider.Scope scope, List<Engine> news) {
-        if (scope != Decider.Scope.CHANGES) {
+    public void apply(RequestRouter.Scope scope, List<Engine> news) {
+        if (scope != RequestRouter.Scope.CHANGES) {
             byId.keySet().retainAll(news.stream().map(Engine::id).toList());
         }
         for (Engine engine : news) {
--- a/src/main/java/dunlinladder/core/EngineCalls.java
+++ b/src/main/java/dunlinladder/core/EngineTransport.java
@@ -1,10 +1,10 @@
 package dunlinladder.core;
 
 /** Port to the engines. */
-public interface EngineCalls {
+public interface EngineTransport {
 
     /** Starts an attempt whose stream goes to the client; {@code first} runs when the stream begins. */
-    Call send(Attempt attempt, Client client, Runnable first);
+    Call send(Attempt attempt, ResponseSink client, Runnable first);
 
     /** Lets go of everything that is held for a request, at every engine. */
     void release(String id);
--- a/src/main/java/dunlinladder/core/Outcome.java
+++ b/src/main/java/dunlinladder/core/Outcome.java
@@ -13,7 +13,7 @@
     /** The ways in which an attempt ends. */
     public enum Ending {
         OK,
-        READ,
+        PREFILLED,
         FULL,
         CONNECT_FAILED,
         ERROR,
@@ -25,7 +25,7 @@
 
         /** Whether the attempt certainly had no effect. */
         public boolean neverRan() {
-            return this == READ || this == FULL || this == CONNECT_FAILED;
+            return this == PREFILLED || this == FULL || this == CONNECT_FAILED;
         }
     }
 
--- a/src/main/java/dunlinladder/core/Gate.java
+++ b/src/main/java/dunlinladder/core/SendGuard.java
@@ -8,30 +8,30 @@
  * since for a thread, a connection or a core, stops here; so does what would otherwise overtake news that has arrived
  * but has not been read.
  */
-public final class Gate {
+public final class SendGuard {
 
     /** Between two looks whether the news has been read. */
     private static final long LOOK_NANOS = 200_000;
 
-    private final Engines engines;
+    private final EngineRegistry engines;
     private final Clock clock;
     private final double waitSeconds;
     private volatile BooleanSupplier unread = () -> false;
 
     /** Creates a gate; a send waits at most {@code waitSeconds} for news to be read. */
-    public Gate(Engines engines, Clock clock, double waitSeconds) {
+    public SendGuard(EngineRegistry engines, Clock clock, double waitSeconds) {
         this.engines = engines;
         this.clock = clock;
         this.waitSeconds = waitSeconds;
     }
 
     /** Sets what tells whether news has arrived that is not yet in the list. */
-    public void watch(BooleanSupplier source) {
+    public void setUnreadUpdateCheck(BooleanSupplier source) {
         unread = source;
     }
 
     /** Whether a request may start on its way to an engine at this moment. */
-    public boolean open(Engine engine) {
+    public boolean allows(Engine engine) {
         if (unread.getAsBoolean()) {
             double until = clock.now() + waitSeconds;
             while (unread.getAsBoolean() && clock.now() < until) {
--- a/src/main/java/dunlinladder/demo/Demo.java
+++ b/src/main/java/dunlinladder/demo/Demo.java
@@ -2,8 +2,8 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import dunlinladder.dialect.Format;
-import dunlinladder.lifecycle.Sample;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.lifecycle.DemoConfiguration;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -53,10 +53,10 @@
 
     private void run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("dunlinladder-demo");
-        try (Engine oldReader = new Engine("old-reader", true, Format.CHAT, seen::add);
-                Engine oldWriter = new Engine("old-writer", false, Format.CHAT, seen::add);
-                Engine newReader = new Engine("new-reader", true, Format.RESPONSES, seen::add);
-                Engine newWriter = new Engine("new-writer", false, Format.RESPONSES, seen::add)) {
+        try (DemoEngine oldReader = new DemoEngine("old-reader", true, ApiFormat.CHAT, seen::add);
+                DemoEngine oldWriter = new DemoEngine("old-writer", false, ApiFormat.CHAT, seen::add);
+                DemoEngine newReader = new DemoEngine("new-reader", true, ApiFormat.RESPONSES, seen::add);
+                DemoEngine newWriter = new DemoEngine("new-writer", false, ApiFormat.RESPONSES, seen::add)) {
             HttpServer discovery = discovery(List.of(oldReader, oldWriter, newReader, newWriter));
             Process gateway = gateway(folder, discovery);
             try {
@@ -74,7 +74,7 @@
         }
     }
 
-    private static HttpServer discovery(List<Engine> engines) throws IOException {
+    private static HttpServer discovery(List<DemoEngine> engines) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
         server.setExecutor(Executors.newCachedThreadPool(task -> {
             Thread thread = new Thread(task, "discovery");
@@ -82,7 +82,7 @@
             return thread;
         }));
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":["
-                + engines.stream().map(Engine::listed).collect(Collectors.joining(",")) + "]}\n";
+                + engines.stream().map(DemoEngine::listed).collect(Collectors.joining(",")) + "]}\n";
         server.createContext("/discovery/hosts", exchange -> follow(exchange, list));
         server.start();
         return server;
@@ -109,7 +109,8 @@
         Path config = Files.writeString(
                 folder.resolve("config.json"),
                 "{\"name\":\"demo\",\"seed\":\"1\","
-                        + "\"discovery\":\"" + at + "\",\"listen\":\"127.0.0.1:0\",\"settings\":" + Sample.SETTINGS
+                        + "\"discovery\":\"" + at + "\",\"listen\":\"127.0.0.1:0\",\"settings\":"
+                        + DemoConfiguration.SETTINGS
                         + "}");
         Path state = Files.writeString(folder.resolve("applied.json"), STATE);
         ProcessBuilder builder = new ProcessBuilder(
--- a/src/main/java/dunlinladder/demo/Engine.java
+++ b/src/main/java/dunlinladder/demo/DemoEngine.java
@@ -2,11 +2,11 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import dunlinladder.dialect.Format;
-import dunlinladder.dialect.Part;
-import dunlinladder.dialect.ReplyEvent;
-import dunlinladder.dialect.ReplyWriter;
-import dunlinladder.lifecycle.Sample;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.apiformat.ContentPart;
+import dunlinladder.apiformat.ReplyEncoder;
+import dunlinladder.apiformat.ReplyEvent;
+import dunlinladder.lifecycle.DemoConfiguration;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -17,15 +17,15 @@
 import java.util.function.Consumer;
 
 /** A model server on loopback that reads or writes in one format and tells what it saw. */
-final class Engine implements AutoCloseable {
+final class DemoEngine implements AutoCloseable {
 
     private final String name;
     private final boolean reads;
-    private final Format format;
+    private final ApiFormat format;
     private final Consumer<String> saw;
     private final HttpServer server;
 
-    Engine(String name, boolean reads, Format format, Consumer<String> saw) throws IOException {
+    DemoEngine(String name, boolean reads, ApiFormat format, Consumer<String> saw) throws IOException {
         this.name = name;
         this.reads = reads;
         this.format = format;
@@ -42,7 +42,7 @@
 
     /** Its entry in discovery's list. */
     String listed() {
-        return Sample.host(name, "127.0.0.1:" + server.getAddress().getPort(), reads ? "reader" : "writer");
+        return DemoConfiguration.host(name, "127.0.0.1:" + server.getAddress().getPort(), reads ? "reader" : "writer");
     }
 
     private void serve(HttpExchange exchange) throws IOException {
@@ -69,10 +69,10 @@
     }
 
     private void write(OutputStream out) throws IOException {
-        ReplyWriter writer = ReplyWriter.of(format, new ReplyWriter.Identity(name, name, 1, true, false, null));
+        ReplyEncoder writer = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, null));
         for (ReplyEvent event : List.of(
                 new ReplyEvent.Begin(name, name, 1),
-                new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null),
+                new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
                 new ReplyEvent.Grow(0, 0, "Three copies ", null),
                 new ReplyEvent.Grow(0, 0, "on the second shelf.", null),
                 new ReplyEvent.Close(0, 0),
--- a/src/main/java/dunlinladder/lifecycle/Operator.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -1,11 +1,11 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.decision.Router;
-import dunlinladder.dialect.Requests;
-import dunlinladder.generation.Generation;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
-import dunlinladder.wire.chat.ChatSettings;
+import dunlinladder.apiformat.RequestTranslator;
+import dunlinladder.migration.Generation;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.chat.ChatSettings;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
  * The operator's file for the chat front: read, checked, and turned into what the front wants. Its settings are kept
  * flat, as {@code models.NAME.class}, so that two of them compare line by line.
  */
-final class Operator {
+final class ChatConfigReader {
 
     private static final Pattern ENVIRONMENT = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
     private static final int MOST_TOKENS = 800;
@@ -27,12 +27,12 @@
     /** The chat front as it is to be started. */
     record Chat(InetSocketAddress listen, ChatSettings settings) {}
 
-    private Operator() {}
+    private ChatConfigReader() {}
 
     /** Reads the file's text; an error names the faulty key. */
     static SortedMap<String, String> read(String toml) {
         SortedMap<String, String> flat = new TreeMap<>();
-        flatten("", Json.parseToml(toml).fields(), flat);
+        flatten("", JsonObject.parseToml(toml).fields(), flat);
         check(flat);
         return flat;
     }
@@ -49,9 +49,9 @@
 
     /** Checks what can be checked without the deployment's settings. */
     static void check(Map<String, String> flat) {
-        Config.address(flat.get("listen"), "listen");
+        GatewayConfig.address(flat.get("listen"), "listen");
         if (names(flat, "keys").isEmpty() || names(flat, "models").isEmpty()) {
-            throw new BadInput("keys and models must each name at least one");
+            throw new InvalidInputException("keys and models must each name at least one");
         }
         flat.forEach((key, value) -> {
             String[] parts = key.split("\\.");
@@ -60,26 +60,27 @@
                 number(key, value);
             } else if (key.startsWith("keys.") && parts.length == 3 && last.equals("tenant")) {
                 if (!ENVIRONMENT.matcher(parts[1]).matches()) {
-                    throw new BadInput(key + ": " + parts[1] + " is not the name of an environment variable");
+                    throw new InvalidInputException(
+                            key + ": " + parts[1] + " is not the name of an environment variable");
                 }
             } else if (key.startsWith("models.") && last.equals("max_tokens")) {
                 if (number(key, value) != Math.rint(number(key, value))) {
-                    throw new BadInput(key + " must be a whole number, not " + value);
+                    throw new InvalidInputException(key + " must be a whole number, not " + value);
                 }
             } else if (key.equals("unknown_fields")) {
                 if (!value.matches("pass|drop|refuse")) {
-                    throw new BadInput(key + " must be pass, drop or refuse, not " + value);
+                    throw new InvalidInputException(key + " must be pass, drop or refuse, not " + value);
                 }
-            } else if (!Generations.knows(key)
+            } else if (!MigrationConfigReader.knows(key)
                     && !key.equals("listen")
                     && !(key.startsWith("models.") && last.equals("class"))) {
-                throw new BadInput("unknown key " + key);
+                throw new InvalidInputException("unknown key " + key);
             }
         });
-        Generations.move(flat, Generations.read(flat, null, null));
+        MigrationConfigReader.move(flat, MigrationConfigReader.read(flat, null, null));
         for (String model : names(flat, "models")) {
             if (!flat.containsKey("models." + model + ".class")) {
-                throw new BadInput("models." + model + ".class is missing");
+                throw new InvalidInputException("models." + model + ".class is missing");
             }
         }
     }
@@ -92,7 +93,7 @@
         } catch (NumberFormatException e) {
             // Said below.
         }
-        throw new BadInput(key + " must be a number over 0, not " + value);
+        throw new InvalidInputException(key + " must be a number over 0, not " + value);
     }
 
     /** The names under a heading; a model's own name may hold dots. */
@@ -105,8 +106,8 @@
     }
 
     /** Checks names against the deployment's classes and tenants. */
-    static void check(Map<String, String> flat, Config config) {
-        Generations.read(flat, config.kinds(), config.zones());
+    static void check(Map<String, String> flat, GatewayConfig config) {
+        MigrationConfigReader.read(flat, config.kinds(), config.zones());
         flat.forEach((key, value) -> {
             if (key.startsWith("deadlines.")) {
                 index(config.classes(), key.substring(10), key, "class");
@@ -121,13 +122,13 @@
     private static int index(List<String> names, String name, String key, String what) {
         int index = names.indexOf(name);
         if (index < 0) {
-            throw new BadInput(key + ": no " + what + " is named " + name + "; there are " + names);
+            throw new InvalidInputException(key + ": no " + what + " is named " + name + "; there are " + names);
         }
         return index;
     }
 
     /** The front that applied settings describe; secrets come from the environment. */
-    static Chat chat(Map<String, String> flat, Config config, Map<String, String> environment) {
+    static Chat chat(Map<String, String> flat, GatewayConfig config, Map<String, String> environment) {
         check(flat);
         check(flat, config);
         Map<String, Integer> tenants = new TreeMap<>();
@@ -138,7 +139,7 @@
                                     secret,
                                     Math.max(0, config.tenants().indexOf(flat.get("keys." + variable + ".tenant"))))
                             != null) {
-                throw new BadInput("keys." + variable + ": the environment variable " + variable
+                throw new InvalidInputException("keys." + variable + ": the environment variable " + variable
                         + " is not set, or holds the same key as another");
             }
         }
@@ -155,9 +156,9 @@
             String own = flat.get("deadlines." + config.classes().get(i));
             deadlines.add(own == null ? config.deadlines().get(i) : Double.valueOf(own));
         }
-        List<Generation> generations = Generations.read(flat, config.kinds(), config.zones());
+        List<Generation> generations = MigrationConfigReader.read(flat, config.kinds(), config.zones());
         return new Chat(
-                Config.address(flat.get("listen"), "listen"),
+                GatewayConfig.address(flat.get("listen"), "listen"),
                 new ChatSettings(
                         tenants,
                         models,
@@ -166,8 +167,8 @@
                                 .map(c -> c.effect() == Router.Effect.UNSAFE)
                                 .toList(),
                         generations,
-                        Generations.move(flat, generations),
-                        Requests.Unknown.valueOf(
+                        MigrationConfigReader.move(flat, generations),
+                        RequestTranslator.Unknown.valueOf(
                                 flat.getOrDefault("unknown_fields", "pass").toUpperCase(Locale.ROOT))));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Sample.java
+++ b/src/main/java/dunlinladder/lifecycle/DemoConfiguration.java
@@ -1,7 +1,7 @@
 package dunlinladder.lifecycle;
 
 /** A small deployment for the program's own stand-ins. */
-public final class Sample {
+public final class DemoConfiguration {
 
     /** The one tenant. */
     public static final String TENANT = "tenant-a";
@@ -22,7 +22,7 @@
             "rules":{"answer-slack":0.008,"cold":14.0,"cold-from":0.26,"fall-multiple":4.0,
             "stop-sending-within":1.0,"tip-after":1.5}}""";
 
-    private Sample() {}
+    private DemoConfiguration() {}
 
     /** An engine's entry in discovery's list; {@code kind} is reader, writer or mixed. */
     public static String host(String name, String address, String kind) {
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -2,23 +2,23 @@
 
 import dunlinladder.core.Clock;
 import dunlinladder.core.Dispatcher;
-import dunlinladder.core.Engines;
-import dunlinladder.core.Gate;
+import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
-import dunlinladder.decision.Decisions;
-import dunlinladder.decision.Router;
-import dunlinladder.generation.Generation;
-import dunlinladder.generation.Routing;
-import dunlinladder.membership.News;
-import dunlinladder.wire.Server;
-import dunlinladder.wire.chat.ChatExchange;
-import dunlinladder.wire.discovery.HostReader;
-import dunlinladder.wire.discovery.Watch;
-import dunlinladder.wire.engine.Connections;
-import dunlinladder.wire.engine.EngineClient;
-import dunlinladder.wire.engine.Pulse;
-import dunlinladder.wire.platform.PlatformExchange;
-import dunlinladder.wire.platform.RequestReader;
+import dunlinladder.core.SendGuard;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.migration.EngineEligibility;
+import dunlinladder.migration.Generation;
+import dunlinladder.routing.BlockingRequestRouter;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.chat.ChatExchange;
+import dunlinladder.transport.discovery.EndpointListReader;
+import dunlinladder.transport.discovery.EndpointWatcher;
+import dunlinladder.transport.engine.EngineClient;
+import dunlinladder.transport.engine.EngineConnectionPool;
+import dunlinladder.transport.engine.SchedulingLagMonitor;
+import dunlinladder.transport.http.HttpListener;
+import dunlinladder.transport.platform.PlatformExchange;
+import dunlinladder.transport.platform.PlatformRequestReader;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Executor;
@@ -36,39 +36,39 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-    private final Config config;
-    private final Operator.Chat operator;
+    private final GatewayConfig config;
+    private final ChatConfigReader.Chat operator;
     private final Limits limits;
-    private final Engines engines = new Engines();
+    private final EngineRegistry engines = new EngineRegistry();
     private final ScheduledExecutorService timer =
             Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "timer"));
     private final EngineClient client;
-    private final Decisions decisions;
+    private final BlockingRequestRouter decisions;
     private final Dispatcher dispatcher;
-    private final Server server;
-    private final Server chat;
-    private final List<Server> servers;
-    private final HostReader hosts;
-    private final News known;
+    private final HttpListener server;
+    private final HttpListener chat;
+    private final List<HttpListener> servers;
+    private final EndpointListReader hosts;
+    private final EndpointUpdate known;
     /** Tells the decisions of news in order; the list itself does not wait for them. */
     private final Executor told = Executors.newSingleThreadExecutor(task -> daemon(task, "news"));
 
-    private final Watch watch;
+    private final EndpointWatcher watch;
     private boolean started;
     private volatile boolean draining;
     private volatile boolean closing;
 
     /** Creates a gateway; {@code operator} is null where the chat front is off. */
-    Gateway(Config config, Operator.Chat operator) throws IOException {
+    Gateway(GatewayConfig config, ChatConfigReader.Chat operator) throws IOException {
         this.config = config;
         this.operator = operator;
         this.limits = config.limits();
         Clock clock = new Clock();
-        Connections connections = new Connections(limits, timer);
-        Gate gate = new Gate(engines, clock, limits.gateSeconds());
+        EngineConnectionPool connections = new EngineConnectionPool(limits, timer);
+        SendGuard gate = new SendGuard(engines, clock, limits.gateSeconds());
         client = new EngineClient(connections, engines, gate, clock, limits, timer);
-        Pulse pulse = new Pulse(connections);
-        decisions = new Decisions(
+        SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections);
+        decisions = new BlockingRequestRouter(
                 config.settings(), config.seed(), clock, client::release, pulse::lag, limits.lagSeconds());
         timer.scheduleWithFixedDelay(
                 () -> {
@@ -84,7 +84,7 @@
         AtomicLong bodies = new AtomicLong();
         PlatformExchange.Shared shared = new PlatformExchange.Shared(
                 dispatcher,
-                new RequestReader(config.classes(), config.deadlines(), config.tenants()),
+                new PlatformRequestReader(config.classes(), config.deadlines(), config.tenants()),
                 clock,
                 limits,
                 () -> draining,
@@ -92,18 +92,19 @@
                 bodies);
         // The fronts share the descriptors that are meant for clients.
         int clients = limits.clientConnections() / (operator == null ? 1 : 2);
-        server = new Server(clients, limits, () -> new PlatformExchange(shared));
+        server = new HttpListener(clients, limits, () -> new PlatformExchange(shared));
         ChatExchange.Shared chats = operator == null
                 ? null
                 : new ChatExchange.Shared(
                         dispatcher, operator.settings(), routing(clock), engines, clock, limits, () -> closing, bodies);
-        chat = operator == null ? null : new Server(clients, limits, () -> new ChatExchange(chats));
-        hosts = new HostReader(config.zones(), config.kinds());
+        chat = operator == null ? null : new HttpListener(clients, limits, () -> new ChatExchange(chats));
+        hosts = new EndpointListReader(config.zones(), config.kinds());
         known = known(config);
-        watch = new Watch(hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
-        gate.watch(watch::unread);
+        watch = new EndpointWatcher(
+                hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
+        gate.setUnreadUpdateCheck(watch::unread);
         servers = chat == null ? List.of(server) : List.of(server, chat);
-        timer.scheduleWithFixedDelay(() -> servers.forEach(Server::sweep), 100, 100, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(() -> servers.forEach(HttpListener::sweep), 100, 100, TimeUnit.MILLISECONDS);
         timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
     }
 
@@ -117,22 +118,22 @@
             @Override
             public boolean readsOnly(int kind) {
                 return kind < settings.roleByKind().size()
-                        && settings.roleByKind().get(kind) == Router.Role.READ;
+                        && settings.roleByKind().get(kind) == Router.Role.PREFILL;
             }
         };
     }
 
     /** Which engines may have which of the chat front's requests; its standing is logged when it changes. */
-    private Routing routing(Clock clock) {
+    private EngineEligibility routing(Clock clock) {
         List<Router.Role> roles = config.settings().roleByKind();
-        Routing routing = new Routing(
+        EngineEligibility routing = new EngineEligibility(
                 operator.settings().engines(),
                 operator.settings().move(),
                 engines::listed,
-                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.BOTH) {
-                    case READ -> Routing.READS;
-                    case WRITE -> Routing.WRITES;
-                    case BOTH -> Routing.READS | Routing.WRITES;
+                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED) {
+                    case PREFILL -> EngineEligibility.READS;
+                    case DECODE -> EngineEligibility.WRITES;
+                    case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
                 },
                 config.seed(),
                 clock.now());
@@ -192,7 +193,7 @@
     }
 
     /** The list of engines that a configuration holds, checked; null where it has none. */
-    private News known(Config from) {
+    private EndpointUpdate known(GatewayConfig from) {
         return from.known().has("hosts") ? hosts.read(from.known(), true) : null;
     }
 
@@ -200,7 +201,7 @@
      * Takes up a new configuration: the address of discovery. What else the file says takes effect at the next start,
      * but all of it is checked, so that a file with faults changes nothing.
      */
-    void reload(Config next) throws IOException {
+    void reload(GatewayConfig next) throws IOException {
         known(next);
         watch.moveTo(next.discovery());
     }
@@ -209,8 +210,8 @@
      * The list is put in place at once, before the module may send to what it names, and holds for what is on its way
      * to an engine; the module hears of it when its lock is free.
      */
-    private void learn(News news) {
-        if (!news.whole() || !news.engines().isEmpty()) {
+    private void learn(EndpointUpdate news) {
+        if (!news.isSnapshot() || !news.engines().isEmpty()) {
             engines.apply(news.scope(), news.engines());
             LOG.debug(
                     "event=list version={} scope={} named={} listed={}",
@@ -218,7 +219,7 @@
                     news.scope(),
                     news.engines().size(),
                     engines.size());
-            told.execute(() -> decisions.list(news.scope(), news.engines()));
+            told.execute(() -> decisions.endpointsUpdated(news.scope(), news.engines()));
         }
     }
 
@@ -241,15 +242,15 @@
         if (!started) {
             return false;
         }
-        LOG.info("stopping with {} requests", dispatcher.active());
+        LOG.info("stopping with {} requests", dispatcher.activeRequests());
         draining = true;
         Thread.sleep((long) (limits.drainSeconds() * 1000));
         closing = true;
-        for (Server each : servers) {
+        for (HttpListener each : servers) {
             each.stopListening();
         }
         // What is held at engines for a request outlives its answer until a release has arrived.
-        while (dispatcher.active() > 0 || client.releasing() > 0) {
+        while (dispatcher.activeRequests() > 0 || client.releasing() > 0) {
             closeIdle();
             Thread.sleep(20);
         }
@@ -259,7 +260,7 @@
         while (!closeIdle() && System.nanoTime() < until) {
             Thread.sleep(20);
         }
-        servers.forEach(Server::close);
+        servers.forEach(HttpListener::close);
         LOG.info("stopped");
         return true;
     }
@@ -267,7 +268,7 @@
     /** Closes what rests, true when no client's connection is left. */
     private boolean closeIdle() {
         boolean none = true;
-        for (Server each : servers) {
+        for (HttpListener each : servers) {
             none &= each.closeIdle();
         }
         return none;
--- a/src/main/java/dunlinladder/lifecycle/Config.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
@@ -1,11 +1,11 @@
 package dunlinladder.lifecycle;
 
 import dunlinladder.core.Limits;
-import dunlinladder.decision.Router;
-import dunlinladder.membership.Timing;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
-import dunlinladder.wire.sim.SettingsReader;
+import dunlinladder.membership.WatchTimeouts;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.simulator.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -17,12 +17,12 @@
 import org.slf4j.LoggerFactory;
 
 /** The gateway's configuration: read, checked and given defaults here and nowhere else. */
-record Config(
+record GatewayConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        Json known,
+        JsonObject known,
         Router.Settings settings,
         List<String> classes,
         List<Double> deadlines,
@@ -30,26 +30,26 @@
         List<String> zones,
         List<String> kinds,
         Limits limits,
-        Timing list) {
+        WatchTimeouts list) {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Config.class);
+    private static final Logger LOG = LoggerFactory.getLogger(GatewayConfig.class);
     /** Descriptors kept for the program itself: files, selectors, the watch, listeners. */
     private static final int OWN_SOCKETS = 64;
     /** Seconds after which news of a drain has to be in force where the settings have no rule on it. */
     private static final double STOP_WITHIN = 1;
 
     /** Reads the file that {@code RELAY_CONFIG} names; {@code RELAY_LISTEN} and the like go before it. */
-    static Config read(Map<String, String> environment) {
+    static GatewayConfig read(Map<String, String> environment) {
         String file = environment.get("RELAY_CONFIG");
         if (file == null) {
-            throw new BadInput("RELAY_CONFIG is not set; it names the configuration file");
+            throw new InvalidInputException("RELAY_CONFIG is not set; it names the configuration file");
         }
         try {
-            return read(Json.parse(Files.readString(Path.of(file)), "the configuration"), environment);
+            return read(JsonObject.parse(Files.readString(Path.of(file)), "the configuration"), environment);
         } catch (IOException e) {
-            throw new BadInput("RELAY_CONFIG: cannot read " + file + ": " + e.getMessage());
-        } catch (BadInput e) {
-            throw new BadInput("RELAY_CONFIG " + file + ": " + e.getMessage());
+            throw new InvalidInputException("RELAY_CONFIG: cannot read " + file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException("RELAY_CONFIG " + file + ": " + e.getMessage());
         }
     }
 
@@ -57,16 +57,16 @@
      * Reads the file again while the gateway runs, with the same checks. What the file says of discovery now goes
      * before the environment, which still names the address of the start.
      */
-    static Config reread(Map<String, String> environment) {
+    static GatewayConfig reread(Map<String, String> environment) {
         Map<String, String> start = new HashMap<>(environment);
         start.remove("RELAY_DISCOVERY");
         return read(start);
     }
 
-    static Config read(Json file, Map<String, String> environment) {
-        Json settings = file.child("settings");
-        Json caps = settings.childOrEmpty("caps");
-        Json given = file.childOrEmpty("limits");
+    static GatewayConfig read(JsonObject file, Map<String, String> environment) {
+        JsonObject settings = file.child("settings");
+        JsonObject caps = settings.childOrEmpty("caps");
+        JsonObject given = file.childOrEmpty("limits");
         int sockets = given.whole("sockets", 1024, 4 * OWN_SOCKETS, Integer.MAX_VALUE);
         // A request takes a thread, with its stack and its share of the heap: some 100 KB in all.
         int memory = given.whole("memory_mb", 160, 32, Integer.MAX_VALUE / 2);
@@ -105,28 +105,28 @@
                 0.6,
                 0.05,
                 lag(router));
-        List<Json> classes = settings.children("classes");
-        List<Json> projects = SettingsReader.projects(settings);
-        return new Config(
+        List<JsonObject> classes = settings.children("classes");
+        List<JsonObject> projects = SettingsReader.projects(settings);
+        return new GatewayConfig(
                 environment.getOrDefault("RELAY_NAME", file.text("name", "gateway")),
                 address(environment.getOrDefault("RELAY_LISTEN", file.text("listen", null)), "listen"),
                 address(environment.getOrDefault("RELAY_DISCOVERY", file.text("discovery", null)), "discovery"),
                 seed(file),
                 file.childOrEmpty("known"),
                 router,
-                Json.names(
+                JsonObject.names(
                         "settings.classes",
                         classes.stream().map(c -> c.text("name")).toList()),
                 classes.stream().map(c -> positive(c, "deadline", 10)).toList(),
                 projects.isEmpty()
                         ? List.of()
-                        : Json.names(
+                        : JsonObject.names(
                                 "settings.projects",
                                 projects.stream().map(p -> p.text("name")).toList()),
                 SettingsReader.zones(settings),
                 settings.names("kinds"),
                 limits,
-                Timing.of(
+                WatchTimeouts.of(
                         !router.listOnRequest(),
                         router.rules().stopSendingWithin() > 0 ? router.rules().stopSendingWithin() : STOP_WITHIN));
     }
@@ -140,16 +140,16 @@
         return (most > 0 ? most : 0.5) / 4;
     }
 
-    private static long seed(Json file) {
+    private static long seed(JsonObject file) {
         String seed = file.text("seed", "0");
         try {
             return Long.parseUnsignedLong(seed, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("seed is not hexadecimal: " + seed);
+            throw new InvalidInputException("seed is not hexadecimal: " + seed);
         }
     }
 
-    private static double positive(Json from, String key, double absent) {
+    private static double positive(JsonObject from, String key, double absent) {
         return from.number(key, absent, Double.MIN_VALUE, Integer.MAX_VALUE);
     }
 
@@ -162,6 +162,6 @@
         } catch (IllegalArgumentException e) {
             // Said below.
         }
-        throw new BadInput(key + (text == null ? " is missing" : " is not address:port: " + text));
+        throw new InvalidInputException(key + (text == null ? " is missing" : " is not address:port: " + text));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Warm.java
+++ b/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
@@ -1,7 +1,7 @@
 package dunlinladder.lifecycle;
 
 import com.sun.net.httpserver.HttpServer;
-import dunlinladder.wire.Json;
+import dunlinladder.transport.json.JsonObject;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -17,7 +17,7 @@
  * Goes once through what a gateway does for each request, against stand-ins in the same process, so that the build can
  * keep the classes that takes in an archive: a gateway that starts on a part of a core has loaded them at once.
  */
-public final class Warm {
+public final class JvmWarmup {
 
     private static final int ROUNDS = 40;
 
@@ -28,28 +28,30 @@
 
             data: [DONE]
 
-            : X-Server-Load: latency_ms=1.0,x0=0.5,x1=1.0
+            : X-HttpListener-Load: latency_ms=1.0,x0=0.5,x1=1.0
 
             """;
 
-    private Warm() {}
+    private JvmWarmup() {}
 
     /** Runs the rounds and exits with 0; with 1 where most of them were not served. */
     public static void main(String[] args) throws IOException, InterruptedException {
         HttpServer reader = server("{\"cached_tokens\":4}", 202);
         HttpServer writer = server(ANSWER, 200);
         String at = "127.0.0.1:" + reader.getAddress().getPort();
-        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + Sample.host("reader", at, "reader") + ","
-                + Sample.host("writer", "127.0.0.1:" + writer.getAddress().getPort(), "writer") + "]}\n";
+        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + DemoConfiguration.host("reader", at, "reader") + ","
+                + DemoConfiguration.host(
+                        "writer", "127.0.0.1:" + writer.getAddress().getPort(), "writer") + "]}\n";
         reader.createContext("/discovery/hosts", exchange -> {
             exchange.sendResponseHeaders(200, 0);
             exchange.getResponseBody().write(list.getBytes(StandardCharsets.UTF_8));
             exchange.getResponseBody().flush();
         });
         Gateway gateway = new Gateway(
-                Config.read(
-                        Json.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
-                                + "\"discovery\":\"" + at + "\",\"settings\":" + Sample.SETTINGS.replace("\n", "")
+                GatewayConfig.read(
+                        JsonObject.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
+                                + "\"discovery\":\"" + at + "\",\"settings\":"
+                                + DemoConfiguration.SETTINGS.replace("\n", "")
                                 + ",\"known\":"
                                 + list.trim() + "}"),
                         Map.of()),
@@ -88,7 +90,7 @@
                         "X-Priority-Class",
                         round % 2 == 0 ? "repeatable" : "once",
                         "X-Tenant-Id",
-                        Sample.TENANT,
+                        DemoConfiguration.TENANT,
                         "X-Route-Key",
                         "k" + round % 5,
                         "X-Timeout",
--- a/src/main/java/dunlinladder/lifecycle/Main.java
+++ b/src/main/java/dunlinladder/lifecycle/Main.java
@@ -1,7 +1,7 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.sim.Host;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.simulator.SimulatorHost;
 import java.io.BufferedReader;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -49,14 +49,14 @@
             } else if (command.equals("simhost") && words.size() == 1) {
                 simulate();
             } else if (command.equals("plan") && words.size() == 2) {
-                System.exit(new Plans(state, System.getenv(), System.out).plan(Path.of(words.get(1)), out));
+                System.exit(new PlanCommands(state, System.getenv(), System.out).plan(Path.of(words.get(1)), out));
             } else if (command.equals("apply") && words.size() == 2) {
-                new Plans(state, System.getenv(), System.out).apply(Path.of(words.get(1)));
+                new PlanCommands(state, System.getenv(), System.out).apply(Path.of(words.get(1)));
             } else {
                 System.err.println(USAGE);
                 System.exit(1);
             }
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             System.err.println("dunlinladder: " + e.getMessage());
             System.exit(1);
         }
@@ -68,17 +68,19 @@
             return absent;
         }
         if (at + 1 == words.size()) {
-            throw new BadInput(name + " needs a value");
+            throw new InvalidInputException(name + " needs a value");
         }
         words.remove(at);
         return words.remove(at);
     }
 
     private static void serve(Path state) throws IOException, InterruptedException {
-        Config config = Config.read(System.getenv());
+        GatewayConfig config = GatewayConfig.read(System.getenv());
         Gateway gateway = new Gateway(
                 config,
-                Files.exists(state) ? Operator.chat(Plans.applied(state).settings(), config, System.getenv()) : null);
+                Files.exists(state)
+                        ? ChatConfigReader.chat(PlanCommands.applied(state).settings(), config, System.getenv())
+                        : null);
         // Without a handler of its own SIGHUP ends the JVM.
         Signal.handle(new Signal("HUP"), signal -> reload(gateway));
         // Before the start: a signal that comes between its first client and this would lose that client.
@@ -122,9 +124,9 @@
     /** A bad file must not cost a gateway that serves: it keeps what it has, and says why. */
     private static synchronized void reload(Gateway gateway) {
         try {
-            gateway.reload(Config.reread(System.getenv()));
+            gateway.reload(GatewayConfig.reread(System.getenv()));
             LOG.info("the configuration was read again");
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             LOG.error("the configuration was read again and not taken: {}", e.getMessage());
         }
     }
@@ -133,6 +135,6 @@
         BufferedReader in = new BufferedReader(
                 new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
         Writer out = new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
-        new Host(in, out).run();
+        new SimulatorHost(in, out).run();
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Generations.java
+++ b/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
@@ -1,9 +1,9 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.dialect.Format;
-import dunlinladder.generation.Generation;
-import dunlinladder.generation.Move;
-import dunlinladder.wire.BadInput;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.migration.Generation;
+import dunlinladder.migration.MigrationPlan;
+import dunlinladder.transport.json.InvalidInputException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -16,14 +16,14 @@
 import java.util.regex.PatternSyntaxException;
 
 /** The part of the operator's file that says which engines speak which format, and how the fleet moves. */
-final class Generations {
+final class MigrationConfigReader {
 
     private static final Pattern GENERATION = Pattern.compile("generations\\.[^.]+\\.(format|kinds|halls|ids|order)");
     private static final Pattern MOVE = Pattern.compile("move\\.(from|to|ramp_seconds"
             + "|stages\\.[1-9][0-9]?\\.(engines|shops|hold_seconds)"
             + "|stop\\.(failed|untranslatable|delay|least|then))");
 
-    private Generations() {}
+    private MigrationConfigReader() {}
 
     /** Whether a key is one of this part's. */
     static boolean knows(String key) {
@@ -45,9 +45,11 @@
                 .distinct()
                 .toList()) {
             String at = "generations." + name + ".";
-            Format format = Format.of(flat.getOrDefault(at + "format", ""))
-                    .orElseThrow(() -> new BadInput(at + "format must be one of "
-                            + Arrays.stream(Format.values()).map(Format::key).toList() + ", not "
+            ApiFormat format = ApiFormat.of(flat.getOrDefault(at + "format", ""))
+                    .orElseThrow(() -> new InvalidInputException(at + "format must be one of "
+                            + Arrays.stream(ApiFormat.values())
+                                    .map(ApiFormat::key)
+                                    .toList() + ", not "
                             + flat.get(at + "format")));
             orders.put(name, (int) number(flat, at + "order", 0, 0, 1000));
             generations.add(new Generation(
@@ -60,24 +62,24 @@
         generations.sort(
                 Comparator.comparing((Generation g) -> orders.get(g.name())).thenComparing(Generation::name));
         return generations.isEmpty()
-                ? List.of(new Generation("all", Format.CHAT, Set.of(), Set.of(), null))
+                ? List.of(new Generation("all", ApiFormat.CHAT, Set.of(), Set.of(), null))
                 : generations;
     }
 
     /** The move, null where the file has none. */
-    static Move move(Map<String, String> flat, List<Generation> generations) {
+    static MigrationPlan move(Map<String, String> flat, List<Generation> generations) {
         if (!moves(flat)) {
             return null;
         }
         String from = generation(flat, "move.from", generations);
         String to = generation(flat, "move.to", generations);
         if (from.equals(to)) {
-            throw new BadInput("move.to must not be the generation that move.from names");
+            throw new InvalidInputException("move.to must not be the generation that move.from names");
         }
-        List<Move.Stage> stages = new ArrayList<>();
+        List<MigrationPlan.Stage> stages = new ArrayList<>();
         for (int i = 1; flat.containsKey("move.stages." + i + ".engines"); i++) {
             String at = "move.stages." + i + ".";
-            stages.add(new Move.Stage(
+            stages.add(new MigrationPlan.Stage(
                     number(flat, at + "engines", Double.NaN, 0, 1),
                     number(flat, at + "shops", 1, 0, 1),
                     number(flat, at + "hold_seconds", 60, 0.001, 1e7)));
@@ -88,18 +90,18 @@
                 .distinct()
                 .count();
         if (named != stages.size()) {
-            throw new BadInput("move.stages must be numbered from 1 on, each with engines");
+            throw new InvalidInputException("move.stages must be numbered from 1 on, each with engines");
         }
         String then = flat.getOrDefault("move.stop.then", "back");
         if (!then.equals("back") && !then.equals("stop")) {
-            throw new BadInput("move.stop.then must be back or stop, not " + then);
+            throw new InvalidInputException("move.stop.then must be back or stop, not " + then);
         }
         try {
-            return new Move(
+            return new MigrationPlan(
                     from,
                     to,
                     stages,
-                    new Move.Stop(
+                    new MigrationPlan.Stop(
                             number(flat, "move.stop.failed", 0.02, 0, 1),
                             number(flat, "move.stop.untranslatable", 0.05, 0, 1),
                             number(flat, "move.stop.delay", 2, 1, 1000),
@@ -107,14 +109,14 @@
                             then.equals("back")),
                     number(flat, "move.ramp_seconds", 10, 0.001, 1e6));
         } catch (IllegalArgumentException e) {
-            throw new BadInput("move.stages: " + e.getMessage());
+            throw new InvalidInputException("move.stages: " + e.getMessage());
         }
     }
 
     private static String generation(Map<String, String> flat, String key, List<Generation> generations) {
         String name = flat.get(key);
         if (name == null || generations.stream().noneMatch(g -> g.name().equals(name))) {
-            throw new BadInput(key + (name == null ? " is missing" : ": no generation is named " + name));
+            throw new InvalidInputException(key + (name == null ? " is missing" : ": no generation is named " + name));
         }
         return name;
     }
@@ -129,7 +131,7 @@
         } catch (NumberFormatException e) {
             // Said below.
         }
-        throw new BadInput(key + " must be a number from " + least + " to " + most + ", not " + text);
+        throw new InvalidInputException(key + " must be a number from " + least + " to " + most + ", not " + text);
     }
 
     /** Names in a list, as the flat form has it; checked against the deployment's, where that is known. */
@@ -138,12 +140,12 @@
         Set<Integer> indexes = new HashSet<>();
         if (text != null) {
             if (!text.startsWith("[") || !text.endsWith("]")) {
-                throw new BadInput(key + " must be a list of names, not " + text);
+                throw new InvalidInputException(key + " must be a list of names, not " + text);
             }
             for (String name : text.substring(1, text.length() - 1).split(",")) {
                 int index = names == null ? 0 : names.indexOf(name.trim());
                 if (index < 0) {
-                    throw new BadInput(key + ": none is named " + name.trim() + "; there are " + names);
+                    throw new InvalidInputException(key + ": none is named " + name.trim() + "; there are " + names);
                 }
                 indexes.add(index);
             }
@@ -156,7 +158,7 @@
         try {
             return text == null ? null : Pattern.compile(text);
         } catch (PatternSyntaxException e) {
-            throw new BadInput(key + " is not a pattern: " + e.getDescription());
+            throw new InvalidInputException(key + " is not a pattern: " + e.getDescription());
         }
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Plans.java
+++ b/src/main/java/dunlinladder/lifecycle/PlanCommands.java
@@ -1,7 +1,7 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.channels.FileChannel;
@@ -19,7 +19,7 @@
 import java.util.TreeSet;
 
 /** The operator's commands: what a file would change, and changing just that. */
-final class Plans {
+final class PlanCommands {
 
     static final int NO_CHANGES = 0;
     static final int CHANGES = 2;
@@ -31,7 +31,7 @@
     /** What was applied last; serial 0 before the first time. */
     record Applied(long serial, SortedMap<String, String> settings) {}
 
-    Plans(Path state, Map<String, String> environment, PrintStream out) {
+    PlanCommands(Path state, Map<String, String> environment, PrintStream out) {
         this.state = state;
         this.environment = environment;
         this.out = out;
@@ -47,13 +47,13 @@
 
     private static Applied read(Path file, String serial) throws IOException {
         try {
-            Json json = Json.parse(Files.readString(file));
+            JsonObject json = JsonObject.parse(Files.readString(file));
             SortedMap<String, String> settings = new TreeMap<>();
-            Json child = json.child("settings");
+            JsonObject child = json.child("settings");
             child.fields().keySet().forEach(key -> settings.put(key, child.text(key)));
             return new Applied(json.integer(serial), settings);
-        } catch (BadInput e) {
-            throw new BadInput(file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
     }
 
@@ -65,7 +65,7 @@
         changes.forEach(out::println);
         out.println(changes.isEmpty() ? "No changes." : changes.size() + " changes.");
         if (saveTo != null) {
-            write(Path.of(saveTo), Json.write(Map.of("base", now.serial, "settings", wanted)));
+            write(Path.of(saveTo), JsonObject.write(Map.of("base", now.serial, "settings", wanted)));
         }
         return changes.isEmpty() ? NO_CHANGES : CHANGES;
     }
@@ -85,16 +85,16 @@
             Applied now = applied(state);
             Applied plan = saved ? read(file, "base") : new Applied(now.serial, wanted(file));
             if (plan.serial != now.serial) {
-                throw new BadInput(file + " is stale: it was made for state " + plan.serial + ", now is " + now.serial
-                        + "; plan again");
+                throw new InvalidInputException(file + " is stale: it was made for state " + plan.serial + ", now is "
+                        + now.serial + "; plan again");
             }
-            Operator.check(plan.settings);
+            ChatConfigReader.check(plan.settings);
             List<String> changes = changes(now.settings, plan.settings);
             if (changes.isEmpty()) {
                 out.println("No changes.");
                 return;
             }
-            write(state, Json.write(Map.of("serial", now.serial + 1, "settings", plan.settings)));
+            write(state, JsonObject.write(Map.of("serial", now.serial + 1, "settings", plan.settings)));
             changes.forEach(out::println);
             out.println(changes.size() + " changes applied; state " + (now.serial + 1) + ".");
         }
@@ -102,13 +102,13 @@
 
     private SortedMap<String, String> wanted(Path file) throws IOException {
         try {
-            SortedMap<String, String> settings = Operator.read(Files.readString(file));
+            SortedMap<String, String> settings = ChatConfigReader.read(Files.readString(file));
             if (environment.containsKey("RELAY_CONFIG")) {
-                Operator.check(settings, Config.read(environment));
+                ChatConfigReader.check(settings, GatewayConfig.read(environment));
             }
             return settings;
-        } catch (BadInput e) {
-            throw new BadInput(file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/dunlinladder/lifecycle/Pages.java
+++ b/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
@@ -1,21 +1,21 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.dialect.Faults;
-import dunlinladder.dialect.Table;
+import dunlinladder.apiformat.ErrorTranslator;
+import dunlinladder.apiformat.TranslationTable;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /** Writes the tables into the folder of docs that its one argument names. */
-public final class Pages {
+public final class ReferenceDocs {
 
-    private Pages() {}
+    private ReferenceDocs() {}
 
     /** Writes {@code fields.md} and {@code errors.md}. */
     public static void main(String[] args) throws IOException {
         Path docs = Path.of(args[0]);
         Files.createDirectories(docs);
-        Files.writeString(docs.resolve("fields.md"), Table.markdown());
-        Files.writeString(docs.resolve("errors.md"), Faults.markdown());
+        Files.writeString(docs.resolve("fields.md"), TranslationTable.markdown());
+        Files.writeString(docs.resolve("errors.md"), ErrorTranslator.markdown());
     }
 }
--- a/src/main/java/dunlinladder/membership/News.java
+++ b/src/main/java/dunlinladder/membership/EndpointUpdate.java
@@ -1,7 +1,7 @@
 package dunlinladder.membership;
 
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
+import dunlinladder.core.RequestRouter;
 import java.util.List;
 
 /**
@@ -10,10 +10,10 @@
  * @param version the list's version with this news in it
  * @param scope what {@code engines} is the whole of
  */
-public record News(long version, Decider.Scope scope, List<Engine> engines) {
+public record EndpointUpdate(long version, RequestRouter.Scope scope, List<Engine> engines) {
 
     /** Whether it is the list from its beginning, and not what has changed since another. */
-    public boolean whole() {
-        return scope != Decider.Scope.CHANGES;
+    public boolean isSnapshot() {
+        return scope != RequestRouter.Scope.CHANGES;
     }
 }
--- a/src/main/java/dunlinladder/membership/Following.java
+++ b/src/main/java/dunlinladder/membership/WatchStateMachine.java
@@ -41,8 +41,8 @@
  * @param moved whether the address has changed and the new one has said nothing yet
  * @param random state of the random numbers
  */
-public record Following(
-        Timing timing,
+public record WatchStateMachine(
+        WatchTimeouts timing,
         String address,
         long version,
         boolean whole,
@@ -111,7 +111,7 @@
         }
 
         /** Clock time at which it is given up unless it has answered. */
-        private double until(Timing timing) {
+        private double until(WatchTimeouts timing) {
             return answered || overdue
                     ? Double.POSITIVE_INFINITY
                     : at + (up ? timing.answerSeconds() : timing.openSeconds());
@@ -131,7 +131,7 @@
         record Answered(int link) implements Event {}
 
         /** A link brought news. */
-        record Told(int link, News news) implements Event {}
+        record Told(int link, EndpointUpdate news) implements Event {}
 
         /** A link brought an empty line. */
         record Beat(int link) implements Event {}
@@ -159,20 +159,20 @@
         record Close(int link) implements Command {}
 
         /** Takes news in; {@link Event.NotTaken} where that fails. */
-        record Take(News news, long before) implements Command {}
+        record Take(EndpointUpdate news, long before) implements Command {}
     }
 
     /** The state after an event and what is to be done, in order. */
-    public record Next(Following state, List<Command> commands) {}
+    public record Next(WatchStateMachine state, List<Command> commands) {}
 
     /** Copies the links, so that a state never changes. */
-    public Following {
+    public WatchStateMachine {
         links = List.copyOf(links);
     }
 
     /** The state before the first event, holding the list of {@code version}; 0 for none. */
-    public static Following from(Timing timing, long version, long seed) {
-        return new Following(timing, null, version, false, List.of(), 0, 0, 0, false, seed);
+    public static WatchStateMachine from(WatchTimeouts timing, long version, long seed) {
+        return new WatchStateMachine(timing, null, version, false, List.of(), 0, 0, 0, false, seed);
     }
 
     /** The state after {@code event} at clock time {@code now}, in seconds. */
@@ -217,7 +217,8 @@
      * call that waits while news may be missed: an older link has fallen silent or is left behind, the address has
      * moved, or the agent of this machine may know more than it has told.
      */
-    private static double openAt(List<Link> links, String address, Timing timing, double retryAt, boolean moved) {
+    private static double openAt(
+            List<Link> links, String address, WatchTimeouts timing, double retryAt, boolean moved) {
         double heard = Double.NEGATIVE_INFINITY;
         double opened = Double.NEGATIVE_INFINITY;
         int count = 0;
@@ -240,7 +241,7 @@
 
     /** One event's work on a copy of the state. */
     private static final class Step {
-        private final Timing timing;
+        private final WatchTimeouts timing;
         private final double now;
         private final List<Command> commands = new ArrayList<>();
         private final List<Link> links;
@@ -253,7 +254,7 @@
         private boolean moved;
         private long random;
 
-        Step(Following from, double now) {
+        Step(WatchStateMachine from, double now) {
             this.timing = from.timing;
             this.now = now;
             this.links = new ArrayList<>(from.links);
@@ -287,7 +288,8 @@
 
         Next next() {
             return new Next(
-                    new Following(timing, address, version, whole, links, nextId, retryAt, failed, moved, random),
+                    new WatchStateMachine(
+                            timing, address, version, whole, links, nextId, retryAt, failed, moved, random),
                     List.copyOf(commands));
         }
 
@@ -327,18 +329,18 @@
             }
         }
 
-        void told(int id, News news) {
+        void told(int id, EndpointUpdate news) {
             if (find(id) == null) {
                 return;
             }
             heard(id, true);
             Link link = find(id);
-            boolean anew = news.whole() && link.asked == 0;
+            boolean anew = news.isSnapshot() && link.asked == 0;
             if (news.version() > version || anew) {
                 replace(link.level());
                 commands.add(new Command.Take(news, version));
                 version = news.version();
-                whole &= !news.whole();
+                whole &= !news.isSnapshot();
             } else if (news.version() == version) {
                 replace(link.level());
             } else {
--- a/src/main/java/dunlinladder/membership/Timing.java
+++ b/src/main/java/dunlinladder/membership/WatchTimeouts.java
@@ -20,7 +20,7 @@
  *     count anew
  * @param links links at once to one address, at least 2
  */
-public record Timing(
+public record WatchTimeouts(
         double raceSeconds,
         double openSeconds,
         double answerSeconds,
@@ -34,7 +34,7 @@
         boolean local) {
 
     /** Checks the figures. */
-    public Timing {
+    public WatchTimeouts {
         if (!(raceSeconds > 0
                 && openSeconds > raceSeconds
                 && answerSeconds >= openSeconds
@@ -70,7 +70,7 @@
      * @param pushed whether lists are pushed, so that the agent of this machine is asked
      * @param stopSeconds the rule's: from news of a drain until nothing new may be sent; over 0
      */
-    public static Timing of(boolean pushed, double stopSeconds) {
+    public static WatchTimeouts of(boolean pushed, double stopSeconds) {
         double silence = BEAT + BEAT_LATE;
         double turn = (TOLD - silence - BEAT_LATE) / 3;
         // Two pauses, a call that is lost, an answer and its reading.
@@ -79,7 +79,7 @@
         // All that are raced have failed by the time at which one that is connected would have.
         double race = 0.3;
         if (!pushed) {
-            return new Timing(
+            return new WatchTimeouts(
                     race, answer - (LINKS - 1) * race, answer, turn, silence, BEAT_LATE, 0.2, pause, 10, LINKS, false);
         }
         // Half of the rule's time until another call is made, a quarter for a pause, the rest to hear of it.
@@ -88,7 +88,7 @@
         pause = Math.min(pause, stop / 4);
         race = Math.min(race, pause);
         answer = Math.min(answer, LINKS * turn);
-        return new Timing(
+        return new WatchTimeouts(
                 race,
                 answer - (LINKS - 1) * race,
                 answer,
--- a/src/main/java/dunlinladder/generation/Routing.java
+++ b/src/main/java/dunlinladder/migration/EngineEligibility.java
@@ -1,7 +1,7 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
+import dunlinladder.apiformat.ApiFormat;
 import dunlinladder.core.Engine;
-import dunlinladder.dialect.Format;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,7 +22,7 @@
  *
  * <p>Time is handed in, in clock seconds. Safe for use by several threads.
  */
-public final class Routing {
+public final class EngineEligibility {
 
     /** First and longest wait until an engine that does not speak its format is tried again, in seconds. */
     private static final double TRIAL_FIRST = 5;
@@ -37,9 +37,9 @@
     public static final int WRITES = 2;
 
     private final List<Generation> generations;
-    private final Move move;
-    private final Progress progress;
-    private final Evidence evidence;
+    private final MigrationPlan move;
+    private final MigrationProgress progress;
+    private final FormatEvidence evidence;
     private final Supplier<Collection<Engine>> list;
     private final ToIntFunction<Engine> stages;
     /** The generation of each listed engine, and what the engines of each can do, as of {@code assignedAt}. */
@@ -54,7 +54,7 @@
         private final String id;
         private final int shop;
         private final boolean safe;
-        private final Map<Format, String> lacking = new EnumMap<>(Format.class);
+        private final Map<ApiFormat, String> lacking = new EnumMap<>(ApiFormat.class);
         /** The generation whose engine read the prompt; null while none has. */
         private String readBy;
 
@@ -66,11 +66,11 @@
         }
 
         /** A format can't express the request for a field's sake. */
-        public synchronized void lacks(Format format, String field) {
+        public synchronized void lacks(ApiFormat format, String field) {
             lacking.put(format, field);
         }
 
-        private synchronized String lacking(Format format) {
+        private synchronized String lacking(ApiFormat format) {
             return lacking.get(format);
         }
 
@@ -91,9 +91,9 @@
      * @param list the engines that are listed now
      * @param stages what an engine does: {@link #READS}, {@link #WRITES} or their sum
      */
-    public Routing(
+    public EngineEligibility(
             List<Generation> generations,
-            Move move,
+            MigrationPlan move,
             Supplier<Collection<Engine>> list,
             ToIntFunction<Engine> stages,
             long seed,
@@ -102,12 +102,12 @@
         this.stages = stages;
         this.generations = List.copyOf(generations);
         this.move = move;
-        this.progress = move == null ? null : new Progress(move, seed, now);
-        this.evidence = new Evidence(TRIAL_FIRST, TRIAL_MOST, seed);
+        this.progress = move == null ? null : new MigrationProgress(move, seed, now);
+        this.evidence = new FormatEvidence(TRIAL_FIRST, TRIAL_MOST, seed);
     }
 
     /** The formats of all generations. */
-    public Collection<Format> formats() {
+    public Collection<ApiFormat> formats() {
         return generations.stream().map(Generation::format).distinct().toList();
     }
 
--- a/src/main/java/dunlinladder/generation/Evidence.java
+++ b/src/main/java/dunlinladder/migration/FormatEvidence.java
@@ -1,4 +1,4 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -12,7 +12,7 @@
  *
  * <p>Time is handed in, in seconds; not safe for use by several threads at once.
  */
-public final class Evidence {
+public final class FormatEvidence {
 
     private final double firstSeconds;
     private final double mostSeconds;
@@ -33,7 +33,7 @@
      * @param mostSeconds the longest such wait
      * @param seed spreads the trials of many gateways
      */
-    public Evidence(double firstSeconds, double mostSeconds, long seed) {
+    public FormatEvidence(double firstSeconds, double mostSeconds, long seed) {
         this.firstSeconds = firstSeconds;
         this.mostSeconds = mostSeconds;
         this.random = new Random(seed);
--- a/src/main/java/dunlinladder/generation/Generation.java
+++ b/src/main/java/dunlinladder/migration/Generation.java
@@ -1,7 +1,7 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
+import dunlinladder.apiformat.ApiFormat;
 import dunlinladder.core.Engine;
-import dunlinladder.dialect.Format;
 import java.util.Set;
 import java.util.regex.Pattern;
 
@@ -12,7 +12,7 @@
  * @param zones halls, empty for all
  * @param ids what an engine's id must match in full, null for any
  */
-public record Generation(String name, Format format, Set<Integer> kinds, Set<Integer> zones, Pattern ids) {
+public record Generation(String name, ApiFormat format, Set<Integer> kinds, Set<Integer> zones, Pattern ids) {
 
     /** Copies the sets. */
     public Generation {
--- a/src/main/java/dunlinladder/generation/Move.java
+++ b/src/main/java/dunlinladder/migration/MigrationPlan.java
@@ -1,4 +1,4 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * @param to the name of the one that it moves to
  * @param rampSeconds in which an engine that has just moved comes to its full share of requests
  */
-public record Move(String from, String to, List<Stage> stages, Stop stop, double rampSeconds) {
+public record MigrationPlan(String from, String to, List<Stage> stages, Stop stop, double rampSeconds) {
 
     /**
      * One stage.
@@ -32,7 +32,7 @@
     public record Stop(double failed, double untranslatable, double delay, int least, boolean back) {}
 
     /** Checks the shares: each stage holds the one before it. */
-    public Move {
+    public MigrationPlan {
         stages = List.copyOf(stages);
         double engines = 0;
         double shops = 0;
--- a/src/main/java/dunlinladder/generation/Progress.java
+++ b/src/main/java/dunlinladder/migration/MigrationProgress.java
@@ -1,7 +1,7 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
-import dunlinladder.generation.Move.Stage;
-import dunlinladder.generation.Move.Stop;
+import dunlinladder.migration.MigrationPlan.Stage;
+import dunlinladder.migration.MigrationPlan.Stop;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -15,7 +15,7 @@
  *
  * <p>Time is handed in, in seconds; not safe for use by several threads at once.
  */
-public final class Progress {
+public final class MigrationProgress {
 
     /** Where a move stands. */
     public enum State {
@@ -31,7 +31,7 @@
     /** Goings back after which the move stops for good. */
     private static final int BACKS = 3;
 
-    private final Move move;
+    private final MigrationPlan move;
     private final Random random;
     private int stage;
     private double openedAt;
@@ -78,7 +78,7 @@
     }
 
     /** Opens the first stage at clock time {@code now}. */
-    public Progress(Move move, long seed, double now) {
+    public MigrationProgress(MigrationPlan move, long seed, double now) {
         this.move = move;
         this.random = new Random(seed);
         open(0, now);
--- a/src/main/java/dunlinladder/decision/Intake.java
+++ b/src/main/java/dunlinladder/routing/AdmissionQueue.java
@@ -1,4 +1,4 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.ArrayDeque;
 import java.util.Queue;
@@ -12,14 +12,14 @@
  *
  * @param <T> what waits
  */
-final class Intake<T> {
+final class AdmissionQueue<T> {
 
     private final double most;
     private final Queue<T> waiting = new ArrayDeque<>();
     private int step = 1;
 
     /** {@code most} is the lag in seconds above which nothing is let in. */
-    Intake(double most) {
+    AdmissionQueue(double most) {
         this.most = most;
     }
 
--- a/src/main/java/dunlinladder/decision/Attempt.java
+++ b/src/main/java/dunlinladder/routing/Attempt.java
@@ -1,17 +1,17 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 /** One send of a request that is out. Plain state. */
 final class Attempt {
     /** What the server is to do with the request. */
     enum Stage {
-        READ,
-        WRITE,
-        WHOLE
+        PREFILL,
+        DECODE,
+        PREFILL_AND_DECODE
     }
 
-    final Job job;
+    final RequestState job;
     final int number;
-    final Worker worker;
+    final EngineState worker;
     final Stage stage;
     final double sentAt;
     /** Prompt tokens that this router expects the server to read. */
@@ -29,7 +29,7 @@
     double held;
     double firstAt = Double.NaN;
 
-    Attempt(Job job, int number, Worker worker, Stage stage, double sentAt) {
+    Attempt(RequestState job, int number, EngineState worker, Stage stage, double sentAt) {
         this.job = job;
         this.number = number;
         this.worker = worker;
@@ -39,7 +39,7 @@
 
     /** Takes its read off the server's count, once. */
     void endRead() {
-        if (stage != Stage.WRITE && tokens >= 0) {
+        if (stage != Stage.DECODE && tokens >= 0) {
             worker.reads--;
             worker.readTokens -= tokens;
             tokens = -1;
@@ -48,7 +48,7 @@
 
     /** Takes its stream off the server's count. */
     void endStream() {
-        if (stage != Stage.READ) {
+        if (stage != Stage.PREFILL) {
             worker.streams--;
             worker.streamWeight = worker.streams == 0 ? 0 : worker.streamWeight - weight;
             worker.heldTokens = worker.streams == 0 ? 0 : worker.heldTokens - held;
--- a/src/main/java/dunlinladder/decision/Decisions.java
+++ b/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
@@ -1,13 +1,13 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import dunlinladder.core.Attempt;
 import dunlinladder.core.Clock;
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
 import dunlinladder.core.Outcome;
 import dunlinladder.core.Request;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.core.RoutingDecision;
 import dunlinladder.core.Seconds;
-import dunlinladder.core.Step;
 import java.util.ArrayDeque;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -29,9 +29,9 @@
  * <p>One lock guards everything. The clock is read while it is held: read before, a thread that waited for the lock
  * would hand the module a time that lies behind one it has already seen.
  */
-public final class Decisions implements Decider {
+public final class BlockingRequestRouter implements RequestRouter {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
+    private static final Logger LOG = LoggerFactory.getLogger(BlockingRequestRouter.class);
     /** Longest wait for a timer in one {@code tick}; a new earlier timer cuts it short. */
     private static final long TICK_MOST = 1_000_000_000L;
     /** Share of its aim for which a request may wait until this process can follow it. */
@@ -44,7 +44,7 @@
     private final Router router;
     private final Clock clock;
     private final Consumer<String> releases;
-    private final Intake<Owed> intake;
+    private final AdmissionQueue<Owed> intake;
     private final DoubleSupplier lag;
     private final Router.Settings settings;
     private int waited;
@@ -56,7 +56,7 @@
 
     /** A request that has steps to come. */
     private final class Owed {
-        final Queue<Step> steps = new ArrayDeque<>();
+        final Queue<RoutingDecision> steps = new ArrayDeque<>();
         final Condition ready = lock.newCondition();
         double sentAt;
         int sends;
@@ -70,7 +70,7 @@
      * Creates the decisions of one gateway; {@code releases} is told ids whose held state is let go, {@code lag} gives
      * the seconds by which this process is behind; over {@code mostLag} requests wait.
      */
-    public Decisions(
+    public BlockingRequestRouter(
             Router.Settings settings,
             long seed,
             Clock clock,
@@ -79,21 +79,21 @@
             double mostLag) {
         this.settings = settings;
         this.lag = lag;
-        this.intake = new Intake<>(mostLag);
-        this.router = new Logic(settings, seed);
+        this.intake = new AdmissionQueue<>(mostLag);
+        this.router = new RoutingPolicy(settings, seed);
         this.clock = clock;
         this.releases = releases;
     }
 
     @Override
-    public Step pick(Request request) throws InterruptedException {
+    public RoutingDecision nextDecision(Request request) throws InterruptedException {
         lock.lock();
         try {
             Owed entry = owed.get(request.id());
             if (entry == null) {
                 entry = new Owed();
                 owed.put(request.id(), entry);
-                Step instead = letIn(entry, request);
+                RoutingDecision instead = letIn(entry, request);
                 if (instead != null) {
                     owed.remove(request.id());
                     return instead;
@@ -116,13 +116,13 @@
             while (entry.steps.isEmpty() && !entry.gone) {
                 entry.ready.await();
             }
-            Step step = entry.gone ? new Step.Drop() : entry.steps.poll();
-            if (entry.gone && entry.steps.peek() instanceof Step.Send unsent) {
+            RoutingDecision step = entry.gone ? new RoutingDecision.Discard() : entry.steps.poll();
+            if (entry.gone && entry.steps.peek() instanceof RoutingDecision.Forward unsent) {
                 // Decided but never made: the module would count it as out at that engine for good.
                 tell(new Router.Outcome(
-                        request.id(), entry.sends - 1, unsent.engine(), Router.Status.MOOT, 0, true, 0, Map.of()));
+                        request.id(), entry.sends - 1, unsent.engine(), Router.Status.NOT_SENT, 0, true, 0, Map.of()));
             }
-            if (!(step instanceof Step.Send)) {
+            if (!(step instanceof RoutingDecision.Forward)) {
                 owed.remove(request.id());
             }
             return step;
@@ -132,7 +132,7 @@
     }
 
     /** Waits until this process can follow one more request; what to do instead where that takes too long. */
-    private Step letIn(Owed entry, Request request) throws InterruptedException {
+    private RoutingDecision letIn(Owed entry, Request request) throws InterruptedException {
         entry.in = intake.open(lag.getAsDouble());
         if (entry.in) {
             return null;
@@ -150,7 +150,7 @@
             intake.remove(entry);
             givenUp++;
         }
-        return entry.gone ? new Step.Drop() : entry.in ? null : new Step.Refuse(0);
+        return entry.gone ? new RoutingDecision.Discard() : entry.in ? null : new RoutingDecision.Reject(0);
     }
 
     /** Looks at how far this process is behind, and lets in what waited; to be called at even times. */
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void ended(Attempt attempt, Outcome outcome, boolean last) {
+    public void attemptEnded(Attempt attempt, Outcome outcome, boolean last) {
         lock.lock();
         try {
             Owed entry = last
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void gone(String id) {
+    public void clientDisconnected(String id) {
         lock.lock();
         try {
             Owed entry = owed.get(id);
@@ -227,7 +227,7 @@
     }
 
     @Override
-    public void list(Scope scope, List<Engine> engines) {
+    public void endpointsUpdated(Scope scope, List<Engine> engines) {
         List<Router.Member> members = engines.stream()
                 .map(e -> new Router.Member(
                         e.id(),
@@ -290,11 +290,11 @@
         }
         for (Router.Action action : actions) {
             if (action instanceof Router.Send send) {
-                step(send.id(), new Step.Send(send.worker(), send.timeout()));
+                step(send.id(), new RoutingDecision.Forward(send.worker(), send.timeout()));
             } else if (action instanceof Router.Refuse refuse) {
-                step(refuse.id(), new Step.Refuse(refuse.retryAfter()));
+                step(refuse.id(), new RoutingDecision.Reject(refuse.retryAfter()));
             } else if (action instanceof Router.Fail fail) {
-                step(fail.id(), new Step.Fail());
+                step(fail.id(), new RoutingDecision.Fail());
             } else if (action instanceof Router.Release release) {
                 releases.accept(release.id());
             } else if (action instanceof Router.SetTimer timer) {
@@ -305,12 +305,12 @@
         }
     }
 
-    private void step(String id, Step step) {
+    private void step(String id, RoutingDecision step) {
         Owed entry = owed.get(id);
         if (entry != null) {
             entry.steps.add(step);
             entry.sentAt = clock.now();
-            entry.sends += step instanceof Step.Send ? 1 : 0;
+            entry.sends += step instanceof RoutingDecision.Forward ? 1 : 0;
             entry.ready.signal();
         }
     }
--- a/src/main/java/dunlinladder/decision/Shares.java
+++ b/src/main/java/dunlinladder/routing/DecayingFrequency.java
@@ -1,17 +1,17 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Counts of keys, halved each time their sum passes a bound, so that the latest weigh most. */
-final class Shares {
+final class DecayingFrequency {
 
     private final double most;
     private final double prior;
     private final Map<Long, Double> counts = new HashMap<>();
     private double sum;
 
-    Shares(double most, double prior) {
+    DecayingFrequency(double most, double prior) {
         this.most = most;
         this.prior = prior;
     }
--- a/src/main/java/dunlinladder/decision/Worker.java
+++ b/src/main/java/dunlinladder/routing/EngineState.java
@@ -1,12 +1,12 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
 
-/** What one router knows of one server. Plain state; {@link Logic} decides on it. */
-final class Worker {
+/** What one router knows of one server. Plain state; {@link RoutingPolicy} decides on it. */
+final class EngineState {
     final String id;
     Router.Member member;
     Router.Role role;
@@ -35,7 +35,7 @@
     double foundSent = 1;
 
     double foundOther = 1;
-    /** How long its streams last against the usual, at {@code pacedAt}; see {@link Paces}. */
+    /** How long its streams last against the usual, at {@code pacedAt}; see {@link StreamDurationStats}. */
     double pace = 1;
 
     double pacedAt;
@@ -58,7 +58,7 @@
 
     double creditAt;
 
-    Worker(String id) {
+    EngineState(String id) {
         this.id = id;
     }
 
--- a/src/main/java/dunlinladder/decision/Recent.java
+++ b/src/main/java/dunlinladder/routing/LruMap.java
@@ -1,15 +1,15 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A map that forgets what was used longest ago once it holds more than its bound. */
-final class Recent<K, V> extends LinkedHashMap<K, V> {
+final class LruMap<K, V> extends LinkedHashMap<K, V> {
 
     private static final long serialVersionUID = 1;
     private final int most;
 
-    Recent(int most) {
+    LruMap(int most) {
         super(16, 0.75f, true);
         this.most = most;
     }
--- a/src/main/java/dunlinladder/decision/KeptPrompts.java
+++ b/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
@@ -1,15 +1,15 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
  * What servers that read probably keep of prompts: which one had a session's last turn, which had a beginning lately,
- * and what part of it was found again. Plain state of one router; {@link Logic} decides on it.
+ * and what part of it was found again. Plain state of one router; {@link RoutingPolicy} decides on it.
  */
-final class KeptPrompts {
+final class PrefixCacheIndex {
 
-    private record Turn(Worker worker, double tokens, double at) {}
+    private record Turn(EngineState worker, double tokens, double at) {}
 
     private final double keptFor;
     private final double smooth;
@@ -17,7 +17,7 @@
     private final double[] foundByRole = {1, 1, 1};
 
     private final Map<Long, Turn> sessions;
-    private final Map<Long, Map<Worker, Double>> prefixes;
+    private final Map<Long, Map<EngineState, Double>> prefixes;
 
     /**
      * Remembers nothing yet.
@@ -26,15 +26,15 @@
      * @param keptFor seconds for which a server is believed to keep what it was sent
      * @param smooth weight of the latest answer in the parts found kept, 0 to 1
      */
-    KeptPrompts(int most, double keptFor, double smooth) {
+    PrefixCacheIndex(int most, double keptFor, double smooth) {
         this.keptFor = keptFor;
         this.smooth = smooth;
-        sessions = new Recent<>(most);
-        prefixes = new Recent<>(most);
+        sessions = new LruMap<>(most);
+        prefixes = new LruMap<>(most);
     }
 
     /** The server that had the session's last turn and probably keeps it, or null. */
-    Worker sessionAt(long session, double now) {
+    EngineState sessionAt(long session, double now) {
         Turn last = sessions.get(session);
         return last != null && now - last.at < keptFor && last.worker.member.startedAt() < last.at ? last.worker : null;
     }
@@ -45,8 +45,8 @@
     }
 
     /** Whether this router has sent the server that beginning, not long ago and since it started. */
-    boolean prefixSent(long prefix, Worker w, double now) {
-        Map<Worker, Double> sent = prefixes.get(prefix);
+    boolean prefixSent(long prefix, EngineState w, double now) {
+        Map<EngineState, Double> sent = prefixes.get(prefix);
         Double at = sent == null ? null : sent.get(w);
         return at != null && now - at < keptFor && w.member.startedAt() < at;
     }
@@ -70,7 +70,7 @@
      * together: where routers are many each meets one server too seldom to learn of it alone.
      */
     void learn(Attempt attempt, double found, boolean byRole) {
-        Worker w = attempt.worker;
+        EngineState w = attempt.worker;
         double prefix = attempt.job.request.prefixTokens();
         if (prefix <= 0) {
             return;
@@ -92,7 +92,7 @@
     }
 
     /** The server left for good. */
-    void forget(Worker w) {
+    void forget(EngineState w) {
         sessions.values().removeIf(turn -> turn.worker == w);
         prefixes.values().forEach(sent -> sent.remove(w));
         prefixes.values().removeIf(Map::isEmpty);
--- a/src/main/java/dunlinladder/decision/Job.java
+++ b/src/main/java/dunlinladder/routing/RequestState.java
@@ -1,4 +1,4 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** One request that this router has taken. Plain state. */
-final class Job {
+final class RequestState {
     /** Share of {@code releaseWithin} for which writers may fail to be reached; a release takes the rest. */
     private static final double REACH_SHARE = 0.8;
 
@@ -19,7 +19,7 @@
     int attempts;
     final Map<Integer, Attempt> out = new LinkedHashMap<>();
     /** The reader on which the state waits, or null. */
-    Worker holder;
+    EngineState holder;
     /** True while a state may wait for it somewhere, heard of or not; since when nothing was out. */
     boolean mayHold;
 
@@ -27,12 +27,12 @@
     boolean ended;
     boolean overShare;
     /** The first attempt that might have run: where and when it was sent. */
-    Worker ranAt;
+    EngineState ranAt;
 
     double ranSentAt;
-    final Set<Worker> tried = new LinkedHashSet<>();
+    final Set<EngineState> tried = new LinkedHashSet<>();
 
-    Job(Router.Request request, Router.ServiceClass type, double arrivedAt) {
+    RequestState(Router.Request request, Router.ServiceClass type, double arrivedAt) {
         this.request = request;
         this.type = type;
         this.arrivedAt = arrivedAt;
@@ -44,7 +44,7 @@
      * connections fail to come up.
      */
     boolean heldTooLong(Attempt attempt, Router.Status status, double now, double releaseWithin) {
-        boolean unreached = attempt.stage == Attempt.Stage.WRITE && status == Router.Status.CONNECT_FAILED;
+        boolean unreached = attempt.stage == Attempt.Stage.DECODE && status == Router.Status.CONNECT_FAILED;
         heldSince = unreached ? heldSince : now;
         return now - heldSince > releaseWithin * REACH_SHARE;
     }
--- a/src/main/java/dunlinladder/decision/Router.java
+++ b/src/main/java/dunlinladder/routing/Router.java
@@ -1,4 +1,4 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.List;
 import java.util.Map;
@@ -17,9 +17,9 @@
 
     /** What a kind of server does: prefill only, decode only, or both. */
     enum Role {
-        READ,
-        WRITE,
-        BOTH
+        PREFILL,
+        DECODE,
+        MIXED
     }
 
     /** Whether a request may be repeated after an attempt that might have run. */
@@ -36,7 +36,7 @@
         CELL
     }
 
-    /** How an attempt ended. {@code READ} means that the prompt is read and its state waits at the reader. */
+    /** How an attempt ended. {@code PREFILLED} means that the prompt is read and its state waits at the reader. */
     enum Status {
         OK,
         ERROR,
@@ -45,12 +45,12 @@
         CONNECT_FAILED,
         RESET,
         CANCELLED,
-        MOOT,
-        READ;
+        NOT_SENT,
+        PREFILLED;
 
         /** True when the attempt certainly had no effect. */
         public boolean neverRan() {
-            return this == FULL || this == CONNECT_FAILED || this == MOOT || this == READ;
+            return this == FULL || this == CONNECT_FAILED || this == NOT_SENT || this == PREFILLED;
         }
     }
 
