--- a/src/main/java/dunlinladder/decision/Logic.java
+++ b/src/main/java/dunlinladder/routing/RoutingPolicy.java
@@ -1,8 +1,8 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
-import dunlinladder.decision.Attempt.Stage;
-import dunlinladder.decision.Router.Role;
-import dunlinladder.decision.Router.Status;
+import dunlinladder.routing.Attempt.Stage;
+import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.Router.Status;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,12 +21,12 @@
 
 /**
  * All decisions of one router. Its interface (settings, events, actions) is in {@code Router.java}; what it
- * remembers of servers, requests and attempts is in {@code Worker}, {@code Job} and {@code Attempt}.
+ * remembers of servers, requests and attempts is in {@code EngineState}, {@code RequestState} and {@code Attempt}.
  *
  * <p>The sections follow a request's life: events, arrival, reader, writer, sending, outcomes, the end; then
  * evidence of health, cold servers, the list. {@code docs/design.md} says why and when each exception acts.
  */
-public final class Logic implements Router {
+public final class RoutingPolicy implements Router {
 
     /** Seconds between sweeps while requests wait; well under every aim. */
     private static final double SWEEP = 0.02;
@@ -167,18 +167,18 @@
     /** Part of the fleet's load that own counts cannot show: 0 with few routers, towards 1 with many. */
     private final double blind;
     private final Random random;
-    private final Map<String, Worker> workers = new LinkedHashMap<>();
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Set<Job> waiting = new LinkedHashSet<>();
-    private final KeptPrompts keeps = new KeptPrompts(KEPT_MOST, KEPT_FOR, SMOOTH);
-    private final Shares beginnings = new Shares(BEGINNINGS_MOST, BEGINNINGS_PRIOR);
-    private final Quotas quotas;
-    private final Paces paces = new Paces(SMOOTH_SLOW, PACE_SMOOTH, SAMPLE_FADE);
+    private final Map<String, EngineState> workers = new LinkedHashMap<>();
+    private final Map<String, RequestState> jobs = new LinkedHashMap<>();
+    private final Set<RequestState> waiting = new LinkedHashSet<>();
+    private final PrefixCacheIndex keeps = new PrefixCacheIndex(KEPT_MOST, KEPT_FOR, SMOOTH);
+    private final DecayingFrequency beginnings = new DecayingFrequency(BEGINNINGS_MOST, BEGINNINGS_PRIOR);
+    private final TenantTokenBuckets quotas;
+    private final StreamDurationStats paces = new StreamDurationStats(SMOOTH_SLOW, PACE_SMOOTH, SAMPLE_FADE);
     private List<Action> actions = new ArrayList<>();
     private double now;
     private double comparedAt = Double.NaN;
     private boolean sweeping;
-    private final Served served;
+    private final ThroughputMeter served;
     private final double[] medianLag = new double[Role.values().length];
     private final double[] totalWeight = new double[Role.values().length];
     private final double[] meanWait = new double[Role.values().length];
@@ -200,13 +200,13 @@
     private int followFailures;
 
     /** Creates a router's decisions; {@code seed} feeds its random numbers. */
-    public Logic(Settings settings, long seed) {
+    public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
         blind = Math.max(0, 1 - FULL_SIGHT / settings.balancers());
         double window = RATE_WINDOW * (1 + blind * (RATE_STRETCH - 1));
-        served = new Served(RATE_WINDOW, window, PEAK_FADE, blind > 0);
-        quotas = new Quotas(settings.quotas(), settings.balancers(), QUOTA_BURST, QUOTA_LEAST * blind);
+        served = new ThroughputMeter(RATE_WINDOW, window, PEAK_FADE, blind > 0);
+        quotas = new TenantTokenBuckets(settings.quotas(), settings.balancers(), QUOTA_BURST, QUOTA_LEAST * blind);
     }
 
     // ---- Events ----
@@ -241,7 +241,7 @@
             return;
         }
         sweeping = false;
-        for (Job job : new ArrayList<>(waiting)) {
+        for (RequestState job : new ArrayList<>(waiting)) {
             if (job.mayHold && now - job.heldSince > settings.rules().releaseWithin() * HOLD_SHARE) {
                 release(job);
             }
@@ -255,7 +255,7 @@
         if (jobs.containsKey(request.id())) {
             return;
         }
-        Job job = new Job(request, settings.classes().get(request.serviceClass()), now);
+        RequestState job = new RequestState(request, settings.classes().get(request.serviceClass()), now);
         jobs.put(request.id(), job);
         meanOutput += (output(request, job.type) - meanOutput) * SMOOTH_SLOW;
         repeats = Math.min(REPEATS_MOST, repeats + REPEATS_EARNED);
@@ -271,7 +271,7 @@
     }
 
     /** Takes a request's next step: a writer for a state that waits, else a reader; else it waits. */
-    private void route(Job job) {
+    private void route(RequestState job) {
         if (job.ended || !job.out.isEmpty()) {
             return;
         }
@@ -283,30 +283,30 @@
         }
         compare();
         if (job.holder != null) {
-            Worker writer = pickWriter(job);
+            EngineState writer = pickWriter(job);
             if (writer != null) {
-                send(job, writer, Stage.WRITE);
+                send(job, writer, Stage.DECODE);
                 return;
             }
         } else {
-            Worker mixed = pickMixed(job);
-            Worker reader = settings.maxAttempts() - job.attempts < 2 ? null : pickReader(job);
+            EngineState mixed = pickMixed(job);
+            EngineState reader = settings.maxAttempts() - job.attempts < 2 ? null : pickReader(job);
             boolean whole = mixed != null
                     && (reader == null || mixedIsDue(job, mixed) && expectedWait(job, mixed)
                             <= Math.max(BEHIND * job.aim(), expectedWait(job, reader))
                             || readersJam(job, reader, mixed));
-            Worker chosen = whole ? mixed : reader;
-            Worker known = stay(job);
+            EngineState chosen = whole ? mixed : reader;
+            EngineState known = stay(job);
             if (known != null && known != chosen && (chosen == null || expectedWait(job, known)
                     <= Math.max(STAY_WAIT * job.aim(), expectedWait(job, chosen)))) {
                 chosen = known;
-                whole = known.role != Role.READ;
+                whole = known.role != Role.PREFILL;
             }
             if (chosen != null) {
                 if (!newsIsOld(chosen) && hopeless(job, expectedWait(job, chosen))) {
                     finish(job);
                 } else {
-                    send(job, chosen, whole ? Stage.WHOLE : Stage.READ);
+                    send(job, chosen, whole ? Stage.PREFILL_AND_DECODE : Stage.PREFILL);
                 }
                 return;
             }
@@ -318,8 +318,8 @@
      * The server that keeps the session's earlier turns. Guards against the jam in which turns read anew
      * push out what others had kept. Can harm where one server gets the long sessions.
      */
-    private Worker stay(Job job) {
-        Worker at = blind > 0 || settings.maxAttempts() - job.attempts < 2 ? null
+    private EngineState stay(RequestState job) {
+        EngineState at = blind > 0 || settings.maxAttempts() - job.attempts < 2 ? null
                 : keeps.sessionAt(job.request.session(), now);
         return at != null && usable(job, w -> w.role == at.role).contains(at) ? at : null;
     }
@@ -329,7 +329,7 @@
      * queues as long as the aim keep all late for good. Where the news is old it is tried all the same:
      * refusing brings no news, and after an outage everything would be refused for good.
      */
-    private boolean hopeless(Job job, double wait) {
+    private boolean hopeless(RequestState job, double wait) {
         if (job.attempts > 0) {
             return wait > job.request.expires() - now;
         }
@@ -337,14 +337,14 @@
                 * (job.overShare ? OVER_SHARE_WAIT : SHED_WAIT) * (1 - SHED_DOUBT * blind);
     }
 
-    private boolean newsIsOld(Worker w) {
+    private boolean newsIsOld(EngineState w) {
         double heardAt = blind > 0 ? heardOf[w.role.ordinal()] : w.sampledAt;
         return w.pending.isEmpty() && now - heardAt > TRIAL_WAIT * (1 + NEWS_STRETCH * blind);
     }
 
     /** Seconds until the first token by way of a reader or mixed server, from what answers now take. */
-    private double expectedWait(Job job, Worker w) {
-        double later = w.role == Role.READ ? medianLag[Role.WRITE.ordinal()] : 0;
+    private double expectedWait(RequestState job, EngineState w) {
+        double later = w.role == Role.PREFILL ? medianLag[Role.DECODE.ordinal()] : 0;
         return Math.max(knownLag(w) * size(job, w) + later, backlogWait());
     }
 
@@ -353,12 +353,12 @@
      * builds. What sits at suspects is no backlog. Too long after a sudden rise, so it is weighed down.
      */
     private double backlogWait() {
-        double rate = served.peak(Role.WRITE) + served.peak(Role.BOTH);
+        double rate = served.peak(Role.DECODE) + served.peak(Role.MIXED);
         if (now - served.firstAt() < 2 * RATE_WINDOW) {
             return 0;
         }
         int unstarted = 0;
-        for (Worker w : workers.values()) {
+        for (EngineState w : workers.values()) {
             unstarted += suspect(w) ? 0 : w.pending.size();
         }
         return BACKLOG_WEIGHT * (1 - blind) * unstarted / rate;
@@ -371,9 +371,9 @@
      * all queues are long. Guards against the jam in which readers lose what they keep. Can harm when one
      * beginning is so popular that its readers run at the ratio's edge.
      */
-    private Worker pickReader(Job job) {
-        List<Worker> readers = atHome(job, usable(job, w -> w.role == Role.READ));
-        Worker least = leastBusy(job, readers, this::readerLoad);
+    private EngineState pickReader(RequestState job) {
+        List<EngineState> readers = atHome(job, usable(job, w -> w.role == Role.PREFILL));
+        EngineState least = leastBusy(job, readers, this::readerLoad);
         if (least == null) {
             return null;
         }
@@ -386,7 +386,7 @@
         double bound = readerLoad(least) * KEPT_RATIO + KEPT_READS - (coldIsFree ? 1 : blind) * KEPT_BLIND;
         double wait = coldIsFree ? Math.max(BEHIND * job.aim(), knownLag(least) * size(job, least))
                 : Double.POSITIVE_INFINITY;
-        List<Worker> near = readers.stream().filter(w -> readerLoad(w) <= bound
+        List<EngineState> near = readers.stream().filter(w -> readerLoad(w) <= bound
                 && knownLag(w) * size(job, w) <= wait).toList();
         double most = near.stream().mapToDouble(w -> kept(job, w)).max().orElse(0);
         if (most >= enough) {
@@ -399,7 +399,7 @@
      * What a read costs, in average reads: what is ahead at the reader and, doubled, what it would have to
      * read. A read of few missing tokens is not one of a long prompt. Harms while what is kept is unknown.
      */
-    private double readCost(Job job, Worker w) {
+    private double readCost(RequestState job, EngineState w) {
         double missed = job.request.promptTokens() - kept(job, w);
         double load = FAILURE_LOAD * failureCount(w) + READ_BASE * w.reads + (w.readTokens
                 + REPORT_WEIGHT * 1000 * reportedWait(w) + MISSED_WEIGHT * missed) / meanTokens;
@@ -411,8 +411,8 @@
      * can take beside an even part of all; the rest goes by all zones. Guards against crossings, and against
      * zones with few servers of a role. Can harm when the zones' traffic is far from even.
      */
-    private List<Worker> atHome(Job job, List<Worker> from) {
-        List<Worker> home = from.stream().filter(w -> w.member.zone() == settings.zone()).toList();
+    private List<EngineState> atHome(RequestState job, List<EngineState> from) {
+        List<EngineState> home = from.stream().filter(w -> w.member.zone() == settings.zone()).toList();
         double part = ZONE_ROOM * home.size() * zones / Math.max(1, from.size());
         double drawn = order(job.request.session(), settings.zone()) / 0x1p64 + 0.5;
         return blind > 0 && drawn < part ? home : from;
@@ -423,7 +423,7 @@
      * the first of it keep it, the more the larger its share; each session has its own among them. Guards
      * against one reader getting a popular beginning from all. Can harm when shares shift quickly.
      */
-    private Worker inOrder(Job job, List<Worker> from) {
+    private EngineState inOrder(RequestState job, List<EngineState> from) {
         long prefix = job.request.prefix();
         long count = prefix == 0 ? from.size()
                 : 1 + (long) (blind * SPREAD * beginnings.part(prefix) * from.size());
@@ -438,7 +438,7 @@
     }
 
     /** The least busy; where own counts say little, what differs by less than half a request is equal. */
-    private Worker leastBusy(Job job, List<Worker> from, ToDoubleFunction<Worker> load) {
+    private EngineState leastBusy(RequestState job, List<EngineState> from, ToDoubleFunction<EngineState> load) {
         if (blind == 0) {
             return best(from, load, w -> w.readTokens, this::reportedWait);
         }
@@ -446,7 +446,7 @@
         return inOrder(job, from.stream().filter(w -> load.applyAsDouble(w) <= least + blind / 2).toList());
     }
 
-    private double readerLoad(Worker w) {
+    private double readerLoad(EngineState w) {
         double reads = FAILURE_LOAD * failureCount(w) + Math.max(w.reads, w.readTokens / meanTokens);
         double load = (reads + blind * othersReads(w)) / w.speed - blind
                 + REPORT_WEIGHT * reportedWait(w) / (meanTokens / 1000) + CELL_WEIGHT * cellPressure(w);
@@ -458,33 +458,33 @@
      * against the usual time. Guards against all routers queuing at the few warm readers while cold ones are
      * quick; where all are warm, leaving a reader for it would cost what it keeps.
      */
-    private double othersReads(Worker w) {
+    private double othersReads(EngineState w) {
         double usual = medianLag[w.role.ordinal()];
         return isCold(w) ? (knownLag(w) + DELAY_FLOOR) / (usual + DELAY_FLOOR) : 1;
     }
 
-    private double zoneMargin(Worker w) {
+    private double zoneMargin(EngineState w) {
         double margin = blind > 0 ? ZONE_BLIND * (1 - blind) : ZONE_MARGIN;
         return w.member.zone() == settings.zone() ? 0 : margin;
     }
 
     /** Thousands of prompt tokens waiting by a fresh report; a reader not heard of counts as average. */
-    private double reportedWait(Worker w) {
+    private double reportedWait(EngineState w) {
         return reports(w) ? w.waitingKilotokens : meanWait[w.role.ordinal()];
     }
 
-    private boolean reports(Worker w) {
+    private boolean reports(EngineState w) {
         return now - w.reportAt <= REPORT_FOR && !Double.isNaN(w.waitingKilotokens);
     }
 
     /** Load of the cell's writers over the fleet's mean, less one; 0 when there are few streams. */
-    private double cellPressure(Worker reader) {
+    private double cellPressure(EngineState reader) {
         Double cell = cellWriters.get(reader.member.cell());
         return cell == null || meanWriters < 1 ? 0 : Math.max(-1, Math.min(1, cell / meanWriters - 1));
     }
 
     /** Prompt tokens that a server that reads probably still keeps. */
-    private double kept(Job job, Worker w) {
+    private double kept(RequestState job, EngineState w) {
         if (keeps.sessionAt(job.request.session(), now) == w) {
             return keeps.sessionTokens(job.request);
         }
@@ -496,8 +496,8 @@
 
     /** What was found kept corrects what is believed of the server and what the read should have taken. */
     private void learnKept(Attempt attempt, Outcome event) {
-        boolean read = event.status() == Status.READ;
-        if (!read && (event.status() != Status.OK || attempt.stage != Stage.WHOLE)) {
+        boolean read = event.status() == Status.PREFILLED;
+        if (!read && (event.status() != Status.OK || attempt.stage != Stage.PREFILL_AND_DECODE)) {
             return;
         }
         keeps.learn(attempt, event.note(), blind > 0);
@@ -508,9 +508,9 @@
         }
     }
 
-    private Worker pickMixed(Job job) {
-        List<Worker> mixed = atHome(job, usable(job, w -> w.role == Role.BOTH
-                || settings.readInPlace() && w.role == Role.WRITE && job.attempts > 0));
+    private EngineState pickMixed(RequestState job) {
+        List<EngineState> mixed = atHome(job, usable(job, w -> w.role == Role.MIXED
+                || settings.readInPlace() && w.role == Role.DECODE && job.attempts > 0));
         return leastBusy(job, mixed, w -> writerLoad(w) - kept(job, w) / meanTokens + zoneMargin(w));
     }
 
@@ -518,9 +518,9 @@
      * A mixed server takes a request whole while it has less than its share of streams; where own counts say
      * little, while all of them have, by session: the next turn then finds what was kept.
      */
-    private boolean mixedIsDue(Job job, Worker mixed) {
+    private boolean mixedIsDue(RequestState job, EngineState mixed) {
         double drawn = order(job.request.session(), 0) / 0x1p64 + 0.5;
-        boolean keepsPace = mixed.role == Role.BOTH && paces.of(mixed, now) < PACE_MOST;
+        boolean keepsPace = mixed.role == Role.MIXED && paces.of(mixed, now) < PACE_MOST;
         return keepsPace && (Double.isNaN(meanWriters) || (blind > 0 ? meanMixed / (2 * drawn)
                 : writerLoad(mixed)) < MIXED_SHARE * meanWriters);
     }
@@ -529,29 +529,29 @@
      * Whether a mixed server should help: the readers are behind and it is not. Its reads slow its streams:
      * only while these keep pace, or past hope of the aim. Can harm when long prompts come in a row.
      */
-    private boolean readersJam(Job job, Worker reader, Worker mixed) {
-        double there = knownLag(reader) * size(job, reader) + medianLag[Role.WRITE.ordinal()];
-        return blind == 0 && mixed.role == Role.BOTH && there > JAM_WAIT * job.aim()
+    private boolean readersJam(RequestState job, EngineState reader, EngineState mixed) {
+        double there = knownLag(reader) * size(job, reader) + medianLag[Role.DECODE.ordinal()];
+        return blind == 0 && mixed.role == Role.MIXED && there > JAM_WAIT * job.aim()
                 && knownLag(mixed) * size(job, mixed) < there * JAM_LESS && memoryNow(mixed) < MEMORY_FREE
                 && (paces.of(mixed, now) < PACE_MOST || there > JAM_LATE * job.aim());
     }
 
     // ---- Writer: after the read, fewest own streams, near the reader ----
 
-    private Worker pickWriter(Job job) {
-        List<Worker> writers = usable(job, w -> w.role == Role.WRITE);
+    private EngineState pickWriter(RequestState job) {
+        List<EngineState> writers = usable(job, w -> w.role == Role.DECODE);
         if (writers.isEmpty()) {
-            writers = usable(job, w -> w.role == Role.BOTH);
+            writers = usable(job, w -> w.role == Role.MIXED);
         }
         Router.Member home = job.holder.member;
-        Worker drawn = random.nextDouble() < blind ? drawWriter(home, writers) : null;
+        EngineState drawn = random.nextDouble() < blind ? drawWriter(home, writers) : null;
         if (drawn != null) {
             return drawn;
         }
-        Worker writer = fewestStreams(writers, w -> w.member.cell() == home.cell());
-        Worker zone = fewestStreams(writers, w -> w.member.zone() == home.zone());
+        EngineState writer = fewestStreams(writers, w -> w.member.cell() == home.cell());
+        EngineState zone = fewestStreams(writers, w -> w.member.zone() == home.zone());
         writer = writer == null || zone != null && clearlyMore(writer, zone, 1) ? zone : writer;
-        Worker far = fewestStreams(writers, w -> true);
+        EngineState far = fewestStreams(writers, w -> true);
         return writer == null || clearlyMore(writer, far, FAR_TIMES) ? far : writer;
     }
 
@@ -560,7 +560,7 @@
      * writers to spare, of the zone first. Guards against cells with many readers and few writers. Can harm
      * when the zones' traffic is far from even.
      */
-    private Worker drawWriter(Router.Member home, List<Worker> writers) {
+    private EngineState drawWriter(Router.Member home, List<EngineState> writers) {
         double reads = readPart.getOrDefault(home.cell(), 0.0);
         double writes = writePart.getOrDefault(home.cell(), 0.0);
         if (random.nextDouble() * reads <= writes) {
@@ -568,9 +568,9 @@
         }
         boolean stays = random.nextDouble() * surplus.getOrDefault(home.zone(), 0.0) < writers.stream()
                 .filter(w -> w.member.zone() == home.zone()).mapToDouble(this::spare).sum();
-        List<Worker> from = writers.stream().filter(w -> stays == (w.member.zone() == home.zone())).toList();
+        List<EngineState> from = writers.stream().filter(w -> stays == (w.member.zone() == home.zone())).toList();
         double left = random.nextDouble() * from.stream().mapToDouble(this::spare).sum();
-        for (Worker w : from) {
+        for (EngineState w : from) {
             left -= spare(w);
             if (left < 0) {
                 return fewestStreams(from, other -> other.member.cell() == w.member.cell());
@@ -580,36 +580,36 @@
     }
 
     /** This writer's part of what its cell's writers can take beyond their cell's reads. */
-    private double spare(Worker w) {
+    private double spare(EngineState w) {
         double writes = writePart.getOrDefault(w.member.cell(), 0.0);
         double reads = readPart.getOrDefault(w.member.cell(), 0.0);
         return reads >= writes ? 0 : (1 - reads / writes) * w.speed / writerSpeeds;
     }
 
-    private Worker fewestStreams(List<Worker> writers, Predicate<Worker> where) {
-        List<Worker> from = writers.stream().filter(where).toList();
+    private EngineState fewestStreams(List<EngineState> writers, Predicate<EngineState> where) {
+        List<EngineState> from = writers.stream().filter(where).toList();
         return blind > 0 ? best(from, w -> Math.rint(2 * writerLoad(w)), w -> 0, w -> 0)
                 : best(from, this::writerLoad, this::memoryShare, w -> 0);
     }
 
-    private boolean clearlyMore(Worker near, Worker other, double times) {
+    private boolean clearlyMore(EngineState near, EngineState other, double times) {
         return writerLoad(near) > times * (writerLoad(other) * CLEAR_RATIO + CLEAR_STREAMS);
     }
 
-    private double writerLoad(Worker w) {
+    private double writerLoad(EngineState w) {
         double full = blind > 0 ? 0 : MEMORY_WEIGHT * Math.max(0, memoryNow(w) - MEMORY_FREE);
         return (w.streamWeight + FAILURE_LOAD * failureCount(w) + blind) / w.speed - blind + full;
     }
 
     /** Share of memory held, by report and what was sent since: a full writer sends answers back to wait. */
-    private double memoryNow(Worker w) {
+    private double memoryNow(EngineState w) {
         boolean fresh = w.memory > 0 && now - w.reportAt <= REPORT_FOR;
         double from = Math.max(w.reportAt - REPORT_DELAY, now - REPORT_FOR);
         return memoryShare(w) + (fresh ? w.heldSince(from) / w.memory : 0);
     }
 
     /** Share of memory held: by a fresh report, else by this router's own streams and its part of all. */
-    private double memoryShare(Worker w) {
+    private double memoryShare(EngineState w) {
         double own = w.memory > 0 ? w.heldTokens * settings.balancers() / w.memory : 0;
         return now - w.reportAt <= REPORT_FOR && !Double.isNaN(w.memoryShare) ? w.memoryShare : own;
     }
@@ -617,26 +617,26 @@
     // ---- Choosing among servers ----
 
     /** Servers that a request may go to: open, healthy or due a trial, within a cold server's budget. */
-    private List<Worker> usable(Job job, Predicate<Worker> role) {
-        List<Worker> open = workers.values().stream().filter(w -> w.open && now >= w.fullUntil && role.test(w)
+    private List<EngineState> usable(RequestState job, Predicate<EngineState> role) {
+        List<EngineState> open = workers.values().stream().filter(w -> w.open && now >= w.fullUntil && role.test(w)
                 && job.request.fits().test(w.id) && repeatAllowed(job, w) && coldBudgetLeft(w)).toList();
-        List<Worker> fit = open.stream().filter(w -> !suspect(w)
+        List<EngineState> fit = open.stream().filter(w -> !suspect(w)
                 || w.pending.isEmpty() && now >= trialAt(job, w)).toList();
-        List<Worker> reached = open.stream().filter(w -> w.unreachedInRow < SUSPECT_FAILURES
+        List<EngineState> reached = open.stream().filter(w -> w.unreachedInRow < SUSPECT_FAILURES
                 || now >= trialAt(job, w)).toList();
-        List<Worker> most = reached.isEmpty() ? open : reached;
-        List<Worker> fresh = (open.size() - fit.size() > open.size() * MOST_BARRED ? most : fit).stream()
+        List<EngineState> most = reached.isEmpty() ? open : reached;
+        List<EngineState> fresh = (open.size() - fit.size() > open.size() * MOST_BARRED ? most : fit).stream()
                 .filter(w -> !job.tried.contains(w)).toList();
         return !fresh.isEmpty() || job.tried.isEmpty() ? fresh
                 : most.stream().filter(w -> !suspect(w)).toList();
     }
 
-    private Worker best(List<Worker> from, ToDoubleFunction<Worker> cost, ToDoubleFunction<Worker> tie,
-            ToDoubleFunction<Worker> lastTie) {
-        Worker best = null;
+    private EngineState best(List<EngineState> from, ToDoubleFunction<EngineState> cost, ToDoubleFunction<EngineState> tie,
+            ToDoubleFunction<EngineState> lastTie) {
+        EngineState best = null;
         double[] bestKey = null;
         int same = 0;
-        for (Worker w : from) {
+        for (EngineState w : from) {
             double[] key = {cost.applyAsDouble(w), tie.applyAsDouble(w), lastTie.applyAsDouble(w)};
             int order = best == null ? -1 : Arrays.compare(key, bestKey);
             same = order < 0 ? 1 : order == 0 ? same + 1 : same;
@@ -649,8 +649,8 @@
     }
 
     /** Rule 2: a request that might have run goes on only where its repeats are dropped, in time. */
-    private boolean repeatAllowed(Job job, Worker w) {
-        if (w.role == Role.READ || job.ranAt == null || job.type.effect() == Effect.SAFE) {
+    private boolean repeatAllowed(RequestState job, EngineState w) {
+        if (w.role == Role.PREFILL || job.ranAt == null || job.type.effect() == Effect.SAFE) {
             return true;
         }
         if (job.type.effect() == Effect.UNSAFE || now - job.ranSentAt > job.type.repeatWindow() - SWEEP) {
@@ -665,10 +665,10 @@
 
     // ---- Sending ----
 
-    private void send(Job job, Worker w, Stage stage) {
+    private void send(RequestState job, EngineState w, Stage stage) {
         waiting.remove(job);
         Attempt attempt = new Attempt(job, job.attempts++, w, stage, now);
-        if (stage != Stage.WRITE) {
+        if (stage != Stage.DECODE) {
             attempt.tokens = job.request.promptTokens() - kept(job, w);
             attempt.size = size(job, w);
             keeps.note(attempt, now);
@@ -677,7 +677,7 @@
             w.reads++;
             job.mayHold = true;
         }
-        if (stage != Stage.READ) {
+        if (stage != Stage.PREFILL) {
             double out = output(job.request, job.type);
             attempt.held = job.request.promptTokens() + out;
             meanHeld += (attempt.held - meanHeld) * SMOOTH_SLOW;
@@ -697,7 +697,7 @@
     }
 
     /** How much longer than usual a read should take: its own tokens and those ahead of it. */
-    private double size(Job job, Worker w) {
+    private double size(RequestState job, EngineState w) {
         return size(job.request.promptTokens() - kept(job, w) + w.readTokens);
     }
 
@@ -706,9 +706,9 @@
     }
 
     /** Time-out of an attempt; 0 (until the client leaves) where nothing better could follow it. */
-    private double timeout(Job job, Worker w, Attempt attempt) {
-        boolean canRepeat = settings.maxAttempts() - job.attempts >= (attempt.stage == Stage.READ ? 2 : 1)
-                && (attempt.stage == Stage.READ || job.type.effect() == Effect.SAFE) && repeats >= 1;
+    private double timeout(RequestState job, EngineState w, Attempt attempt) {
+        boolean canRepeat = settings.maxAttempts() - job.attempts >= (attempt.stage == Stage.PREFILL ? 2 : 1)
+                && (attempt.stage == Stage.PREFILL || job.type.effect() == Effect.SAFE) && repeats >= 1;
         double usual = Math.max(medianLag[w.role.ordinal()], suspect(w) ? 0 : knownLag(w)) * attempt.size;
         double least = TIMEOUT_LEAST * job.aim();
         double wait = Math.max(least, TIMEOUT_FACTOR * usual);
@@ -729,7 +729,7 @@
         attempt.firstAt = now;
         attempt.job.holder = null;
         attempt.job.mayHold = false;
-        Worker w = attempt.worker;
+        EngineState w = attempt.worker;
         w.pending.remove(attempt);
         attempt.endRead();
         succeeded(w, event.elapsed() / attempt.size);
@@ -740,8 +740,8 @@
         if (attempt == null) {
             return;
         }
-        Job job = attempt.job;
-        Worker w = attempt.worker;
+        RequestState job = attempt.job;
+        EngineState w = attempt.worker;
         job.out.remove(attempt.number);
         w.pending.remove(attempt);
         attempt.endRead();
@@ -751,7 +751,7 @@
         learnKept(attempt, event);
         paces.learn(attempt, event.status(), now, blind == 0);
         judge(attempt, event);
-        boolean mayHaveRun = attempt.stage != Stage.READ && !event.status().neverRan();
+        boolean mayHaveRun = attempt.stage != Stage.PREFILL && !event.status().neverRan();
         if (mayHaveRun && job.ranAt == null) {
             job.ranAt = w;
             job.ranSentAt = attempt.sentAt;
@@ -766,10 +766,10 @@
 
     /** What an outcome says of the server. */
     private void judge(Attempt attempt, Outcome event) {
-        Worker w = attempt.worker;
+        EngineState w = attempt.worker;
         w.unreachedInRow = event.status() == Status.CONNECT_FAILED ? w.unreachedInRow + 1 : 0;
         switch (event.status()) {
-            case READ -> succeeded(w, event.elapsed() / attempt.size);
+            case PREFILLED -> succeeded(w, event.elapsed() / attempt.size);
             case FULL -> {
                 if (event.note() == 0) {
                     w.fullUntil = now + FULL_WAIT;
@@ -790,15 +790,15 @@
 
     /** The next step of a request that is still owed its answer. */
     private void goOn(Attempt attempt, Outcome event) {
-        Job job = attempt.job;
+        RequestState job = attempt.job;
         boolean late = job.heldTooLong(attempt, event.status(), now, settings.rules().releaseWithin());
         boolean gone = event.status() == Status.FULL && event.note() == 1;
-        if (event.status() == Status.READ) {
+        if (event.status() == Status.PREFILLED) {
             job.holder = attempt.worker;
             job.tried.clear();
-        } else if (attempt.stage == Stage.WRITE && (gone || late)) {
+        } else if (attempt.stage == Stage.DECODE && (gone || late)) {
             release(job);   // rule 5: out of the writer's reach is not gone, a cut-off reader still holds it
-        } else if (event.status() == Status.MOOT) {
+        } else if (event.status() == Status.NOT_SENT) {
             finish(job);
             return;
         } else {
@@ -811,16 +811,16 @@
     // ---- The end of a request ----
 
     /** Gives the final answer: a refusal where it may promise that a new try is harmless, else a failure. */
-    private void finish(Job job) {
+    private void finish(RequestState job) {
         boolean harmless = job.ranAt == null || job.type.effect() == Effect.SAFE
                 || job.type.effect() == Effect.KEYED && job.type.group() == Group.ALL;
-        double backoff = settings.retryAfter() ? Job.advice(backlogWait(), settings, random.nextDouble()) : 0;
+        double backoff = settings.retryAfter() ? RequestState.advice(backlogWait(), settings, random.nextDouble()) : 0;
         actions.add(harmless ? new Refuse(job.request.id(), backoff) : new Fail(job.request.id()));
         end(job);
     }
 
     /** A reader whose answer was lost (a link cut, a reset) may hold the state all the same. */
-    private void release(Job job) {
+    private void release(RequestState job) {
         if (job.mayHold) {
             job.mayHold = false;
             job.holder = null;
@@ -829,7 +829,7 @@
     }
 
     /** Rule 5: whatever ends a request, nothing stays held for it; late outcomes release once more. */
-    private void end(Job job) {
+    private void end(RequestState job) {
         job.ended = true;
         waiting.remove(job);
         if (job.out.isEmpty()) {
@@ -840,13 +840,13 @@
 
     // ---- Evidence of health: against peers of the same role, never against fixed times ----
 
-    private void succeeded(Worker w, double delay) {
+    private void succeeded(EngineState w, double delay) {
         w.failedInRow = 0;
         served.count(w.role, now);
         learnDelay(w, delay);
     }
 
-    private void learnDelay(Worker w, double delay) {
+    private void learnDelay(EngineState w, double delay) {
         w.sampledAt = now;
         ArrayDeque<double[]> last = latest.get(w.role.ordinal());
         last.addLast(new double[] {now, delay});
@@ -857,19 +857,19 @@
         w.delay = Double.isNaN(w.delay) || recovered ? delay : w.delay + (delay - w.delay) * SMOOTH;
     }
 
-    private void failed(Worker w, int inRow) {
+    private void failed(EngineState w, int inRow) {
         w.failures = failureCount(w) + 1;
         w.failuresAt = now;
         w.failedInRow += inRow;
         w.nextTrialAt = now + trialWait(w);
     }
 
-    private double failureCount(Worker w) {
+    private double failureCount(EngineState w) {
         return w.failures * Math.exp((w.failuresAt - now) / FAILURE_FADE);
     }
 
     /** What its answers now take, or its oldest unanswered attempt; old samples fade, so that it returns. */
-    private double lag(Worker w) {
+    private double lag(EngineState w) {
         double usual = medianLag[w.role.ordinal()];
         double lag = usual + (w.delay - usual) * Math.exp((w.sampledAt - now) / SAMPLE_FADE);
         for (Attempt attempt : w.pending) {
@@ -883,7 +883,7 @@
      * Where own counts say little, a cold server not yet heard of counts as quick: what routers may send
      * there is bounded. Guards against refusing for the jam at the few warm ones while cold ones are idle.
      */
-    private double knownLag(Worker w) {
+    private double knownLag(EngineState w) {
         boolean untried = blind > 0 && isCold(w);
         return !Double.isNaN(w.lag) ? w.lag : untried ? 0 : medianLag[w.role.ordinal()];
     }
@@ -897,15 +897,15 @@
         for (Role role : Role.values()) {
             compare(role.ordinal(), open(role));
         }
-        List<Worker> writers = open(Role.WRITE);
+        List<EngineState> writers = open(Role.DECODE);
         meanWriters = writers.stream().mapToDouble(this::writerLoad).average().orElse(Double.NaN);
-        meanMixed = open(Role.BOTH).stream().mapToDouble(this::writerLoad).average().orElse(0);
+        meanMixed = open(Role.MIXED).stream().mapToDouble(this::writerLoad).average().orElse(0);
         zones = workers.values().stream().filter(w -> w.open).mapToInt(w -> w.member.zone()).distinct()
                 .count();
         writerSpeeds = writers.stream().mapToDouble(w -> w.speed).sum();
         writePart = writers.stream().collect(Collectors.groupingBy(w -> w.member.cell(),
                 Collectors.summingDouble(w -> w.speed / writerSpeeds)));
-        List<Worker> readers = open(Role.READ);
+        List<EngineState> readers = open(Role.PREFILL);
         double readerSpeeds = readers.stream().mapToDouble(w -> w.speed).sum();
         readPart = readers.stream().collect(Collectors.groupingBy(w -> w.member.cell(),
                 Collectors.summingDouble(w -> w.speed / readerSpeeds)));
@@ -916,11 +916,11 @@
                 Collectors.averagingDouble(this::writerLoad)));
     }
 
-    private List<Worker> open(Role role) {
+    private List<EngineState> open(Role role) {
         return workers.values().stream().filter(w -> w.open && w.role == role).toList();
     }
 
-    private void compare(int role, List<Worker> peers) {
+    private void compare(int role, List<EngineState> peers) {
         peers.forEach(w -> w.lag = lag(w));
         double[] lags = peers.stream().mapToDouble(w -> w.lag).filter(v -> v >= 0).sorted().toArray();
         double median = blind == 0 || latest.get(role).isEmpty() ? median(lags) : latelyUsual(role, peers);
@@ -928,7 +928,7 @@
         totalWeight[role] = peers.stream().mapToDouble(w -> w.member.weight()).sum();
         meanWait[role] = peers.stream().filter(this::reports).mapToDouble(w -> w.waitingKilotokens).average()
                 .orElse(0);
-        for (Worker w : peers) {
+        for (EngineState w : peers) {
             double slow = Double.isNaN(w.lag) ? 1 : (w.lag + DELAY_FLOOR) / (median + DELAY_FLOOR);
             w.slowness = slow < SLOW ? 1 : slow;
             double weight = w.member.weight() * peers.size() / totalWeight[role];
@@ -937,7 +937,7 @@
     }
 
     /** Median of the role's latest answers and of what waits longer: a jam shows before it is answered. */
-    private double latelyUsual(int role, List<Worker> peers) {
+    private double latelyUsual(int role, List<EngineState> peers) {
         double[] answers = latest.get(role).stream().mapToDouble(v -> v[1]).sorted().toArray();
         DoubleStream waiting = peers.stream().flatMap(w -> w.pending.stream())
                 .mapToDouble(a -> (now - a.sentAt) / a.size).filter(age -> age > median(answers));
@@ -948,27 +948,27 @@
         return sorted.length == 0 ? 0 : sorted[(sorted.length - 1) / 2];
     }
 
-    private boolean suspect(Worker w) {
+    private boolean suspect(EngineState w) {
         return w.failedInRow >= (blind > 0 ? 1 : SUSPECT_FAILURES) || w.slowness >= SUSPECT;
     }
 
     /** A trial goes to a request that may be repeated; to another one only where none came for long. */
-    private double trialAt(Job job, Worker w) {
-        boolean harmless = w.role == Role.READ || job.type.effect() == Effect.SAFE;
+    private double trialAt(RequestState job, EngineState w) {
+        boolean harmless = w.role == Role.PREFILL || job.type.effect() == Effect.SAFE;
         return w.nextTrialAt + (harmless ? 0 : trialWait(w));
     }
 
-    private double trialWait(Worker w) {
+    private double trialWait(EngineState w) {
         return TRIAL_WAIT * (1 << Math.min(w.failedInRow, TRIAL_DOUBLINGS)) * (1 + TRIAL_STRETCH * blind);
     }
 
     // ---- Cold servers: this router's part of what one can take ----
 
-    private boolean isCold(Worker w) {
+    private boolean isCold(EngineState w) {
         return w.member.startedAt() > 0 && now - w.member.startedAt() < settings.rules().cold();
     }
 
-    private double ramp(Worker w) {
+    private double ramp(EngineState w) {
         double from = settings.rules().coldFrom();
         return isCold(w) ? from + (1 - from) * (now - w.member.startedAt()) / settings.rules().cold() : 1;
     }
@@ -979,7 +979,7 @@
      * credit starts at one where routers are few, and is drawn where many would each grant one. Holds with a
      * whole zone cold and after this router's own restart. Harms when load has just risen.
      */
-    private boolean coldBudgetLeft(Worker w) {
+    private boolean coldBudgetLeft(EngineState w) {
         if (!isCold(w)) {
             return true;
         }
@@ -1010,7 +1010,7 @@
             workers.values().forEach(w -> w.open = false);
         }
         for (Member member : event.members()) {
-            Worker w = workers.computeIfAbsent(member.worker(), Worker::new);
+            EngineState w = workers.computeIfAbsent(member.worker(), EngineState::new);
             if (w.member != null && member.startedAt() > w.member.startedAt()) {
                 w.forget();
             }
@@ -1019,7 +1019,7 @@
             }
             w.member = member;
             int kind = member.kind();
-            w.role = kind < settings.roleByKind().size() ? settings.roleByKind().get(kind) : Role.BOTH;
+            w.role = kind < settings.roleByKind().size() ? settings.roleByKind().get(kind) : Role.MIXED;
             w.memory = kind < settings.kvTokens().size() ? settings.kvTokens().get(kind) : 0;
             w.open = member.lifecycle() == Lifecycle.ACTIVE;
         }
@@ -1033,8 +1033,8 @@
     }
 
     /** Servers leave for good and others come under new ids: what is kept of them would grow for ever. */
-    private void forget(Predicate<Worker> gone) {
-        for (Worker w : workers.values().stream().filter(gone).toList()) {
+    private void forget(Predicate<EngineState> gone) {
+        for (EngineState w : workers.values().stream().filter(gone).toList()) {
             workers.remove(w.id);
             keeps.forget(w);
         }
--- a/src/main/java/dunlinladder/decision/Paces.java
+++ b/src/main/java/dunlinladder/routing/StreamDurationStats.java
@@ -1,4 +1,4 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * How long streams last at a server, against the mean of their class at servers that only write. The lengths of answers
  * are not told, so only means over several compare. Plain state of one router.
  */
-final class Paces {
+final class StreamDurationStats {
 
     private final double smoothUsual;
     private final double smooth;
@@ -21,14 +21,14 @@
      * @param smooth weight of the latest stream in a server's pace, 0 to 1
      * @param fade seconds in which a pace not seen again fades to a third of its distance from 1
      */
-    Paces(double smoothUsual, double smooth, double fade) {
+    StreamDurationStats(double smoothUsual, double smooth, double fade) {
         this.smoothUsual = smoothUsual;
         this.smooth = smooth;
         this.fade = fade;
     }
 
     /** Times the usual that streams last at a server, as far as still known; 1 before any. */
-    double of(Worker w, double now) {
+    double of(EngineState w, double now) {
         return 1 + (w.pace - 1) * Math.exp((w.pacedAt - now) / fade);
     }
 
@@ -38,9 +38,9 @@
             return;
         }
         double lasted = now - attempt.firstAt;
-        Worker w = attempt.worker;
+        EngineState w = attempt.worker;
         int type = attempt.job.request.serviceClass();
-        if (w.role == Router.Role.WRITE) {
+        if (w.role == Router.Role.DECODE) {
             usual.merge(type, lasted, (mean, last) -> mean + (last - mean) * smoothUsual);
         }
         Double mean = usual.get(type);
--- a/src/main/java/dunlinladder/decision/Quotas.java
+++ b/src/main/java/dunlinladder/routing/TenantTokenBuckets.java
@@ -1,10 +1,10 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import java.util.Arrays;
 import java.util.List;
 
 /** What each tenant has left of this router's part of its quota, in requests. Plain state of one router. */
-final class Quotas {
+final class TenantTokenBuckets {
 
     private final double[] rates;
     private final double burst;
@@ -20,7 +20,7 @@
      * @param burst seconds of quota that may be saved up
      * @param least requests that may be saved up at the least
      */
-    Quotas(List<Double> perSecond, int routers, double burst, double least) {
+    TenantTokenBuckets(List<Double> perSecond, int routers, double burst, double least) {
         rates = perSecond.stream().mapToDouble(rate -> rate / routers).toArray();
         this.burst = burst;
         this.least = least;
--- a/src/main/java/dunlinladder/decision/Served.java
+++ b/src/main/java/dunlinladder/routing/ThroughputMeter.java
@@ -1,11 +1,11 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 /**
  * Answers a second of each role (reads done, or streams begun) and the most seen of late, which is what the role can
  * do. Counted over long, a rate shows late after the start, when a cold budget needs it: so there by the time seen.
  * Plain state of one router.
  */
-final class Served {
+final class ThroughputMeter {
 
     private final double least;
     private final double window;
@@ -24,7 +24,7 @@
      * @param peakFade seconds in which the remembered peak fades to a third
      * @param byTimeSeen whether a rate is taken over the time seen where that is shorter than the window
      */
-    Served(double least, double window, double peakFade, boolean byTimeSeen) {
+    ThroughputMeter(double least, double window, double peakFade, boolean byTimeSeen) {
         this.least = least;
         this.window = window;
         this.peakFade = peakFade;
--- a/src/main/java/dunlinladder/wire/chat/ChatError.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatError.java
@@ -1,9 +1,9 @@
-package dunlinladder.wire.chat;
+package dunlinladder.transport.chat;
 
-import dunlinladder.dialect.Fault;
-import dunlinladder.dialect.Faults;
-import dunlinladder.dialect.Format;
-import dunlinladder.wire.Json;
+import dunlinladder.apiformat.ApiError;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.apiformat.ErrorTranslator;
+import dunlinladder.transport.json.JsonObject;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -28,28 +28,29 @@
     }
 
     /** The error object in a client's format. */
-    String json(Format format) {
-        return format == Format.CHAT
+    String json(ApiFormat format) {
+        return format == ApiFormat.CHAT
                 ? json()
-                : Faults.write(format, new Fault(kind(), getMessage(), param)).toString();
+                : ErrorTranslator.write(format, new ApiError(kind(), getMessage(), param))
+                        .toString();
     }
 
     /** The status in a client's format. */
-    int status(Format format) {
-        return format == Format.CHAT ? status : Faults.status(format, kind());
+    int status(ApiFormat format) {
+        return format == ApiFormat.CHAT ? status : ErrorTranslator.status(format, kind());
     }
 
-    Fault.Kind kind() {
+    ApiError.Kind kind() {
         return switch (status) {
-            case 400 -> "unsupported_parameter".equals(code) ? Fault.Kind.UNTRANSLATABLE : Fault.Kind.INVALID;
-            case 401 -> Fault.Kind.AUTHENTICATION;
-            case 404 -> Fault.Kind.NOT_FOUND;
-            case 405 -> Fault.Kind.METHOD;
-            case 413 -> Fault.Kind.TOO_LARGE;
-            case 429 -> Fault.Kind.OVERLOADED;
-            case 502 -> Fault.Kind.SERVER;
-            case 504 -> Fault.Kind.TIMEOUT;
-            default -> Fault.Kind.INTERNAL;
+            case 400 -> "unsupported_parameter".equals(code) ? ApiError.Kind.UNTRANSLATABLE : ApiError.Kind.INVALID;
+            case 401 -> ApiError.Kind.AUTHENTICATION;
+            case 404 -> ApiError.Kind.NOT_FOUND;
+            case 405 -> ApiError.Kind.METHOD;
+            case 413 -> ApiError.Kind.TOO_LARGE;
+            case 429 -> ApiError.Kind.OVERLOADED;
+            case 502 -> ApiError.Kind.SERVER;
+            case 504 -> ApiError.Kind.TIMEOUT;
+            default -> ApiError.Kind.INTERNAL;
         };
     }
 
@@ -66,6 +67,6 @@
                                 : status == 401 ? "authentication_error" : "invalid_request_error");
         error.put("param", param);
         error.put("code", code);
-        return Json.write(Map.of("error", error));
+        return JsonObject.write(Map.of("error", error));
     }
 }
--- a/src/main/java/dunlinladder/wire/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -1,33 +1,33 @@
-package dunlinladder.wire.chat;
+package dunlinladder.transport.chat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlinladder.core.Client;
+import dunlinladder.apiformat.ApiError;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.apiformat.ContentPart;
+import dunlinladder.apiformat.Conversation;
+import dunlinladder.apiformat.ErrorTranslator;
+import dunlinladder.apiformat.ReplyEncoder;
+import dunlinladder.apiformat.ReplyEvent;
+import dunlinladder.apiformat.ReplyTranslator;
+import dunlinladder.apiformat.RequestParameter;
+import dunlinladder.apiformat.RequestTranslator;
+import dunlinladder.apiformat.ServerSentEventReader;
+import dunlinladder.apiformat.StrictJson;
+import dunlinladder.apiformat.UntranslatableRequestException;
 import dunlinladder.core.Clock;
 import dunlinladder.core.Dispatcher;
 import dunlinladder.core.Engine;
-import dunlinladder.core.Engines;
+import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
 import dunlinladder.core.Outcome;
-import dunlinladder.dialect.Conversation;
-import dunlinladder.dialect.EventReader;
-import dunlinladder.dialect.Fault;
-import dunlinladder.dialect.Faults;
-import dunlinladder.dialect.Format;
-import dunlinladder.dialect.Part;
-import dunlinladder.dialect.Pieces;
-import dunlinladder.dialect.ReplyEvent;
-import dunlinladder.dialect.ReplyWriter;
-import dunlinladder.dialect.Requests;
-import dunlinladder.dialect.Setting;
-import dunlinladder.dialect.Translation;
-import dunlinladder.dialect.Untranslatable;
-import dunlinladder.generation.Generation;
-import dunlinladder.generation.Routing;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
-import dunlinladder.wire.ServerExchange;
-import dunlinladder.wire.engine.Forward;
-import dunlinladder.wire.engine.Outgoing;
+import dunlinladder.core.ResponseSink;
+import dunlinladder.migration.EngineEligibility;
+import dunlinladder.migration.Generation;
+import dunlinladder.transport.engine.EngineRequest;
+import dunlinladder.transport.engine.EngineRequestFactory;
+import dunlinladder.transport.http.ServerExchange;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -47,7 +47,7 @@
  * One request in any of the published formats; its client as the core sees it. Where the engines speak the client's own
  * format its body goes on as it came, else it is translated there and its answer back.
  */
-public final class ChatExchange extends ServerExchange implements Client, Outgoing {
+public final class ChatExchange extends ServerExchange implements ResponseSink, EngineRequestFactory {
 
     private static final String JSON = "application/json";
 
@@ -55,8 +55,8 @@
     public record Shared(
             Dispatcher dispatcher,
             ChatSettings settings,
-            Routing routing,
-            Engines engines,
+            EngineEligibility routing,
+            EngineRegistry engines,
             Clock clock,
             Limits limits,
             BooleanSupplier closing,
@@ -65,24 +65,24 @@
     private static final String MODELS = "/v1/models";
 
     private final Shared shared;
-    private final EventReader events = new EventReader((name, data) -> event(data));
+    private final ServerSentEventReader events = new ServerSentEventReader((name, data) -> event(data));
     private final StringBuilder text = new StringBuilder();
     private final StringBuilder out = new StringBuilder();
     private ChatRequest request;
-    private Format format = Format.CHAT;
+    private ApiFormat format = ApiFormat.CHAT;
     /** Null where all engines speak the client's own format. */
     private Conversation talk;
 
-    private Routing.Ask ask;
-    private Format rendered;
+    private EngineEligibility.Ask ask;
+    private ApiFormat rendered;
     /** The generation to which the engine of the last attempt belonged when it was sent. */
     private volatile String sentIn;
 
     private byte[] forward;
     /** Of the attempt that is out; null where its engine speaks the client's own format. */
-    private volatile Translation translation;
+    private volatile ReplyTranslator translation;
 
-    private volatile Fault rejection;
+    private volatile ApiError rejection;
     private final List<String> warnings = new ArrayList<>();
     private String id;
     private boolean open;
@@ -101,38 +101,38 @@
      * Translates a little in each direction, so that the first clients do not wait, and their attempts run out of time,
      * while classes are loaded.
      */
-    public static void warm(Collection<Format> engines) {
-        ReplyWriter.Identity identity = new ReplyWriter.Identity("0", "warm", 0, true, false, null);
+    public static void warm(Collection<ApiFormat> engines) {
+        ReplyEncoder.Identity identity = new ReplyEncoder.Identity("0", "warm", 0, true, false, null);
         List<ReplyEvent> answer = List.of(
                 new ReplyEvent.Begin("0", "warm", 0),
-                new ReplyEvent.Open(0, 0, Part.Kind.TEXT, null, null),
+                new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
                 new ReplyEvent.Grow(0, 0, "a", null),
                 new ReplyEvent.Close(0, 0),
                 new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
                 new ReplyEvent.Usage(1, 0, 1, 0),
                 new ReplyEvent.End());
-        for (Format from : engines) {
-            ReplyWriter writer = ReplyWriter.of(from, identity);
+        for (ApiFormat from : engines) {
+            ReplyEncoder writer = ReplyEncoder.of(from, identity);
             StringBuilder events = new StringBuilder();
             answer.forEach(event -> events.append(writer.stream(event)));
             byte[] stream = events.toString().getBytes(StandardCharsets.UTF_8);
-            for (Format to : Format.values()) {
-                String talk = to == Format.COMPLETIONS
+            for (ApiFormat to : ApiFormat.values()) {
+                String talk = to == ApiFormat.COMPLETIONS
                         ? "\"prompt\":\"a\""
-                        : to == Format.RESPONSES
+                        : to == ApiFormat.RESPONSES
                                 ? "\"input\":\"a\""
                                 : "\"max_tokens\":1,\"messages\":[{\"role\":\"user\"," + "\"content\":\"a\"}]";
-                Requests.write(
+                RequestTranslator.write(
                         from,
-                        Requests.read(
+                        RequestTranslator.read(
                                 to,
-                                Pieces.body(("{\"model\":\"warm\"," + talk + "}").getBytes(StandardCharsets.UTF_8)),
-                                Requests.Unknown.PASS,
+                                StrictJson.body(("{\"model\":\"warm\"," + talk + "}").getBytes(StandardCharsets.UTF_8)),
+                                RequestTranslator.Unknown.PASS,
                                 new ArrayList<>()),
                         1,
                         new ArrayList<>());
                 for (boolean streamed : new boolean[] {true, false}) {
-                    Translation translation = new Translation(from, to, identity, streamed);
+                    ReplyTranslator translation = new ReplyTranslator(from, to, identity, streamed);
                     translation.stream(ByteBuffer.wrap(stream), text -> {});
                     translation.end(text -> {});
                     if (!streamed) {
@@ -149,14 +149,14 @@
         try {
             String path = path(head);
             boolean models = path.equals(MODELS) || path.startsWith(MODELS + "/");
-            Format asked = Arrays.stream(Format.values())
+            ApiFormat asked = Arrays.stream(ApiFormat.values())
                     .filter(f -> f.path().equals(path))
                     .findFirst()
                     .orElse(null);
             if (!models && asked == null) {
                 throw new ChatError(404, "unknown path " + path, null, "not_found");
             }
-            format = models ? Format.CHAT : asked;
+            format = models ? ApiFormat.CHAT : asked;
             String method = models ? "GET" : "POST";
             if (!head.getMethod().equals(method)) {
                 ChatError error = new ChatError(405, "use " + method, null, "method_not_allowed");
@@ -176,11 +176,11 @@
                 return;
             }
             id = UUID.randomUUID().toString().replace("-", "");
-            Collection<Format> formats = shared.routing.formats();
-            boolean plain = format == Format.CHAT && formats.equals(List.of(Format.CHAT));
+            Collection<ApiFormat> formats = shared.routing.formats();
+            boolean plain = format == ApiFormat.CHAT && formats.equals(List.of(ApiFormat.CHAT));
             request = plain ? ChatRequest.read(content, shared.settings, tenant) : parsed(content, tenant);
             boolean once = shared.settings.once().get(request.kind().serviceClass());
-            ask = new Routing.Ask(id, tenant, !once);
+            ask = new EngineEligibility.Ask(id, tenant, !once);
             if (!plain) {
                 fit(formats, now);
             }
@@ -203,36 +203,36 @@
     /** Reads a request in the client's format. */
     private ChatRequest parsed(byte[] content, int tenant) {
         try {
-            talk = Requests.read(format, Pieces.body(content), shared.settings.unknown(), warnings);
-            if (talk.number(Setting.CHOICES, 1) != 1) {
+            talk = RequestTranslator.read(format, StrictJson.body(content), shared.settings.unknown(), warnings);
+            if (talk.number(RequestParameter.CHOICES, 1) != 1) {
                 throw ChatError.invalid("only one choice is offered: n must be 1", "n");
             }
-            if (talk.number(Setting.BEST_OF, 1) != 1) {
+            if (talk.number(RequestParameter.BEST_OF, 1) != 1) {
                 throw ChatError.invalid("only one choice is offered: best_of must be 1", "best_of");
             }
             return ChatRequest.of(talk, shared.settings, tenant);
-        } catch (Untranslatable e) {
+        } catch (UntranslatableRequestException e) {
             throw refused(e);
         }
     }
 
-    private static ChatError refused(Untranslatable e) {
+    private static ChatError refused(UntranslatableRequestException e) {
         return new ChatError(400, e.getMessage(), e.field(), e.malformed() ? "invalid_value" : "unsupported_parameter");
     }
 
     /** Finds out which formats can express the request; where no engine speaks one, the client is told now. */
-    private void fit(Collection<Format> formats, double now) {
-        for (Format each : formats) {
-            String field = Requests.lacking(each, talk);
+    private void fit(Collection<ApiFormat> formats, double now) {
+        for (ApiFormat each : formats) {
+            String field = RequestTranslator.lacking(each, talk);
             if (field != null) {
                 ask.lacks(each, field);
             }
         }
-        if (formats.size() == 1 && Requests.lacking(formats.iterator().next(), talk) == null) {
+        if (formats.size() == 1 && RequestTranslator.lacking(formats.iterator().next(), talk) == null) {
             try {
                 // What only shows when it is written must still be told at once.
                 render(formats.iterator().next());
-            } catch (Untranslatable e) {
+            } catch (UntranslatableRequestException e) {
                 throw refused(e);
             }
         }
@@ -249,36 +249,37 @@
     // ---- The engines' side: what goes to each, and what they show ----
 
     @Override
-    public Forward to(Engine engine) {
+    public EngineRequest to(Engine engine) {
         Generation generation = shared.routing.of(engine).orElse(null);
-        Format engines = generation == null ? Format.CHAT : generation.format();
+        ApiFormat engines = generation == null ? ApiFormat.CHAT : generation.format();
         sentIn = generation == null ? null : generation.name();
         shared.routing.sent(engine);
         if (talk == null) {
             translation = null;
-            return new Forward("POST", engines.path(), JSON, request.forward());
+            return new EngineRequest("POST", engines.path(), JSON, request.forward());
         }
-        String echo = talk.flag(Setting.ECHO) && engines != Format.COMPLETIONS
+        String echo = talk.flag(RequestParameter.ECHO) && engines != ApiFormat.COMPLETIONS
                 ? talk.turns().get(0).text()
                 : null;
-        translation = new Translation(
+        translation = new ReplyTranslator(
                 engines,
                 format,
-                new ReplyWriter.Identity(
+                new ReplyEncoder.Identity(
                         id, request.model(), (long) shared.clock.now(), request.usage(), talk.legacy(), echo),
                 request.stream());
-        return new Forward("POST", engines.path(), JSON, render(engines));
+        return new EngineRequest("POST", engines.path(), JSON, render(engines));
     }
 
     /** The request in a format; written once, and again only for an attempt at an engine of another. */
-    private byte[] render(Format engines) {
+    private byte[] render(ApiFormat engines) {
         if (rendered != engines) {
             List<String> left = new ArrayList<>();
-            ObjectNode body = Requests.write(engines, talk, request.kind().mostTokens(), left);
+            ObjectNode body =
+                    RequestTranslator.write(engines, talk, request.kind().mostTokens(), left);
             left.stream().filter(line -> !warnings.contains(line)).forEach(warnings::add);
             // Engines only stream, and the usage is wanted for the answer's end whatever the client asks.
             body.put("stream", true);
-            if (engines == Format.CHAT || engines == Format.COMPLETIONS) {
+            if (engines == ApiFormat.CHAT || engines == ApiFormat.COMPLETIONS) {
                 body.putObject("stream_options").put("include_usage", true);
             }
             forward = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -288,19 +289,19 @@
     }
 
     @Override
-    public void ended(Engine engine, Outcome outcome, int status, double firstSeconds) {
+    public void attemptEnded(Engine engine, Outcome outcome, int status, double firstSeconds) {
         double now = shared.clock.now();
-        if (outcome.ending() == Outcome.Ending.READ) {
+        if (outcome.ending() == Outcome.Ending.PREFILLED) {
             ask.readBy(sentIn);
         } else if (outcome.ending() == Outcome.Ending.FULL && outcome.note() == 1) {
             ask.readBy(null);
         }
-        if (outcome.ending() == Outcome.Ending.ERROR && Faults.knowsNot(status, null)) {
+        if (outcome.ending() == Outcome.Ending.ERROR && ErrorTranslator.knowsNot(status, null)) {
             shared.routing.knowsNot(engine, now);
             return;
         }
         boolean ok = outcome.ending() == Outcome.Ending.OK
-                || outcome.ending() == Outcome.Ending.READ
+                || outcome.ending() == Outcome.Ending.PREFILLED
                 || outcome.ending() == Outcome.Ending.REJECTED;
         shared.routing.ended(
                 engine,
@@ -312,7 +313,7 @@
 
     @Override
     public boolean rejects(int status, String body) {
-        rejection = Faults.rejection(status, body);
+        rejection = ErrorTranslator.rejection(status, body);
         return rejection != null;
     }
 
@@ -339,7 +340,7 @@
     }
 
     private String models() {
-        return Json.write(Map.of(
+        return JsonObject.write(Map.of(
                 "object",
                 "list",
                 "data",
@@ -351,7 +352,7 @@
 
     private String model(String name) {
         ChatRequest.kind(shared.settings, name);
-        return Json.write(describe(name));
+        return JsonObject.write(describe(name));
     }
 
     private static Map<String, Object> describe(String name) {
@@ -368,7 +369,7 @@
     // ---- The engine's events ----
 
     @Override
-    public void data(ByteBuffer piece, IntConsumer taken) {
+    public void writeEvents(ByteBuffer piece, IntConsumer taken) {
         int size = piece.remaining();
         if (translation == null) {
             events.read(piece);
@@ -411,24 +412,24 @@
             return;
         }
         try {
-            Json event = Json.parse(data);
+            JsonObject event = JsonObject.parse(data);
             if (event.has("error")) {
                 failed = true;
             } else {
                 chunk(event);
             }
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             failed = true;
         }
     }
 
-    private void chunk(Json event) {
-        List<Json> choices = event.has("choices") ? event.children("choices") : List.of();
+    private void chunk(JsonObject event) {
+        List<JsonObject> choices = event.has("choices") ? event.children("choices") : List.of();
         if (event.has("usage")) {
             usage = event.child("usage").fields();
         }
         if (!choices.isEmpty()) {
-            Json choice = choices.get(0);
+            JsonObject choice = choices.get(0);
             text.append(request.stream() ? "" : choice.childOrEmpty("delta").text("content", ""));
             finishReason = choice.has("finish_reason") ? choice.text("finish_reason") : finishReason;
         }
@@ -442,7 +443,7 @@
                 choice.put("delta", delta);
                 fields.put("choices", List.of(choice));
             }
-            send(Json.write(fields));
+            send(JsonObject.write(fields));
         }
     }
 
@@ -480,7 +481,7 @@
     // ---- The core's verdict ----
 
     @Override
-    public void end() {
+    public void complete() {
         if (translation != null) {
             translation.end(this::translated);
             if (!translation.whole()) {
@@ -502,12 +503,12 @@
             choice.put("finish_reason", finishReason);
             fields.put("choices", List.of(choice));
             fields.put("usage", usage);
-            answer(200, JSON, Json.write(fields), Map.of());
+            answer(200, JSON, JsonObject.write(fields), Map.of());
         }
     }
 
     @Override
-    public void cut() {
+    public void abortStream() {
         broken();
     }
 
@@ -515,7 +516,7 @@
     private void broken() {
         ChatError error = new ChatError(502, "the answer broke off", null, "upstream_error");
         if (open && translation != null) {
-            translation.fail(new Fault(Fault.Kind.SERVER, error.getMessage(), null), this::translated);
+            translation.fail(new ApiError(ApiError.Kind.SERVER, error.getMessage(), null), this::translated);
             close();
         } else if (open) {
             close(error.json());
@@ -525,7 +526,7 @@
     }
 
     @Override
-    public void refuse(double retryAfter) {
+    public void reject(double retryAfter) {
         double advice = retryAfter > 0 ? retryAfter : shared.limits.retryAfterSeconds();
         ChatError error = new ChatError(429, "no capacity now; trying again is harmless", null, "overloaded");
         answer(error.status(format), JSON, error.json(format), Map.of("Retry-After", Long.toString((long)
@@ -536,9 +537,9 @@
     public void fail(Failure why) {
         if (why == Failure.REQUEST) {
             answer(
-                    Faults.status(format, rejection.kind()),
+                    ErrorTranslator.status(format, rejection.kind()),
                     JSON,
-                    Faults.write(format, rejection).toString(),
+                    ErrorTranslator.write(format, rejection).toString(),
                     headers(Map.of()));
             return;
         }
--- a/src/main/java/dunlinladder/wire/chat/ChatRequest.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatRequest.java
@@ -1,13 +1,13 @@
-package dunlinladder.wire.chat;
+package dunlinladder.transport.chat;
 
+import dunlinladder.apiformat.Conversation;
+import dunlinladder.apiformat.Message;
+import dunlinladder.apiformat.RequestParameter;
 import dunlinladder.core.Payload;
 import dunlinladder.core.Request;
-import dunlinladder.dialect.Conversation;
-import dunlinladder.dialect.Setting;
-import dunlinladder.dialect.Turn;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
-import dunlinladder.wire.platform.RequestReader;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.platform.PlatformRequestReader;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -38,13 +38,13 @@
     /** Reads a request's body; throws a {@link ChatError} for what the API does not allow. */
     static ChatRequest read(byte[] content, ChatSettings settings, int tenant) {
         try {
-            return read(Json.parse(new String(content, StandardCharsets.UTF_8)), content, settings, tenant);
-        } catch (BadInput e) {
+            return read(JsonObject.parse(new String(content, StandardCharsets.UTF_8)), content, settings, tenant);
+        } catch (InvalidInputException e) {
             throw ChatError.invalid(e.getMessage(), null);
         }
     }
 
-    private static ChatRequest read(Json body, byte[] content, ChatSettings settings, int tenant) {
+    private static ChatRequest read(JsonObject body, byte[] content, ChatSettings settings, int tenant) {
         String model = body.text("model");
         ChatSettings.Model kind = kind(settings, model);
         if (body.integer("n", 1) != 1) {
@@ -55,7 +55,7 @@
         if (most < 1) {
             throw ChatError.invalid(bound + " must be 1 or more", bound);
         }
-        List<Json> messages = body.children("messages");
+        List<JsonObject> messages = body.children("messages");
         if (messages.isEmpty()) {
             throw ChatError.invalid("messages must not be empty", "messages");
         }
@@ -64,7 +64,7 @@
         String shared = null;
         long characters = 0;
         boolean begun = false;
-        for (Json message : messages) {
+        for (JsonObject message : messages) {
             String role = message.text("role");
             if (!ROLES.contains(role)) {
                 throw ChatError.invalid("unknown role '" + role + "'", "messages");
@@ -89,17 +89,17 @@
                 Math.ceil(characters / CHARACTERS_PER_TOKEN),
                 shared == null ? 0 : Math.floor(shared.length() / CHARACTERS_PER_TOKEN),
                 most,
-                RequestReader.key(opening.toString()),
-                shared == null ? 0 : RequestReader.key(shared),
+                PlatformRequestReader.key(opening.toString()),
+                shared == null ? 0 : PlatformRequestReader.key(shared),
                 stream ? content : streamed(body));
     }
 
     /** The text of a message, which is a string, a list of text parts, or absent beside tool calls. */
-    private static String text(Json message) {
+    private static String text(JsonObject message) {
         Object content = message.fields().get("content");
         if (content instanceof List) {
             StringBuilder text = new StringBuilder();
-            for (Json part : message.children("content")) {
+            for (JsonObject part : message.children("content")) {
                 if (!part.text("type").equals("text")) {
                     throw ChatError.invalid("only text parts are taken, not " + part.text("type"), "messages");
                 }
@@ -112,16 +112,16 @@
 
     /** Figures of a request that is translated; its body depends on the engine. */
     static ChatRequest of(Conversation talk, ChatSettings settings, int tenant) {
-        String model = talk.text(Setting.MODEL);
+        String model = talk.text(RequestParameter.MODEL);
         ChatSettings.Model kind = kind(settings, model);
         StringBuilder opening = new StringBuilder(tenant + "\n" + model);
         String shared = null;
         long characters = 0;
         boolean begun = false;
-        for (Turn turn : talk.turns()) {
+        for (Message turn : talk.turns()) {
             String text = turn.text();
             characters += text.length();
-            boolean instruction = turn.role() == Turn.Role.SYSTEM;
+            boolean instruction = turn.role() == Message.Role.SYSTEM;
             if (!begun) {
                 opening.append('\n').append(turn.role()).append('\n').append(text);
                 begun = !instruction;
@@ -131,13 +131,13 @@
         return new ChatRequest(
                 model,
                 kind,
-                talk.flag(Setting.STREAM),
-                talk.flag(Setting.STREAM_USAGE),
+                talk.flag(RequestParameter.STREAM),
+                talk.flag(RequestParameter.STREAM_USAGE),
                 Math.ceil(characters / CHARACTERS_PER_TOKEN),
                 shared == null ? 0 : Math.floor(shared.length() / CHARACTERS_PER_TOKEN),
-                talk.number(Setting.MAX_OUTPUT, kind.mostTokens()),
-                RequestReader.key(opening.toString()),
-                shared == null ? 0 : RequestReader.key(shared),
+                talk.number(RequestParameter.MAX_OUTPUT, kind.mostTokens()),
+                PlatformRequestReader.key(opening.toString()),
+                shared == null ? 0 : PlatformRequestReader.key(shared),
                 null);
     }
 
@@ -151,10 +151,10 @@
     }
 
     /** Engines only stream: for a client that wants one answer the events are put together here. */
-    private static byte[] streamed(Json body) {
+    private static byte[] streamed(JsonObject body) {
         Map<String, Object> fields = new LinkedHashMap<>(body.fields());
         fields.put("stream", true);
-        return Json.write(fields).getBytes(StandardCharsets.UTF_8);
+        return JsonObject.write(fields).getBytes(StandardCharsets.UTF_8);
     }
 
     /** The request as the core knows it. */
--- a/src/main/java/dunlinladder/wire/chat/ChatSettings.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatSettings.java
@@ -1,8 +1,8 @@
-package dunlinladder.wire.chat;
+package dunlinladder.transport.chat;
 
-import dunlinladder.dialect.Requests;
-import dunlinladder.generation.Generation;
-import dunlinladder.generation.Move;
+import dunlinladder.apiformat.RequestTranslator;
+import dunlinladder.migration.Generation;
+import dunlinladder.migration.MigrationPlan;
 import java.util.List;
 import java.util.Map;
 
@@ -23,8 +23,8 @@
         List<Double> deadlines,
         List<Boolean> once,
         List<Generation> engines,
-        Move move,
-        Requests.Unknown unknown) {
+        MigrationPlan move,
+        RequestTranslator.Unknown unknown) {
 
     /** What a model name stands for; {@code mostTokens} holds where the client sets no bound. */
     public record Model(int serviceClass, int mostTokens) {}
--- a/src/main/java/dunlinladder/wire/discovery/HostReader.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointListReader.java
@@ -1,34 +1,34 @@
-package dunlinladder.wire.discovery;
+package dunlinladder.transport.discovery;
 
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
-import dunlinladder.membership.News;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Reads discovery's lists. */
-public final class HostReader {
+public final class EndpointListReader {
 
     private final List<String> zones;
     private final List<String> kinds;
 
     /** Creates a reader for a deployment's zones and machine kinds. */
-    public HostReader(List<String> zones, List<String> kinds) {
+    public EndpointListReader(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
     /** Translates a message; {@code cached} when it is a list from before the start. */
-    public News read(Json message, boolean cached) {
+    public EndpointUpdate read(JsonObject message, boolean cached) {
         List<Engine> engines = new ArrayList<>();
-        for (Json host : message.children("hosts")) {
+        for (JsonObject host : message.children("hosts")) {
             Engine.State state = switch (host.text("health")) {
                 case "active" -> Engine.State.ACTIVE;
                 case "leaving" -> Engine.State.LEAVING;
                 case "left" -> Engine.State.LEFT;
-                default -> throw new BadInput("unknown health " + host.text("health"));
+                default -> throw new InvalidInputException("unknown health " + host.text("health"));
             };
             // born_ms is Unix time, as the clock's seconds are.
             engines.add(new Engine(
@@ -41,19 +41,21 @@
                     host.number("share", 1),
                     host.number("born_ms", 0) / 1e3));
         }
-        return new News(
+        return new EndpointUpdate(
                 message.integer("seq"),
-                cached ? Decider.Scope.CACHED : message.flag("whole") ? Decider.Scope.COMPLETE : Decider.Scope.CHANGES,
+                cached
+                        ? RequestRouter.Scope.CACHED
+                        : message.flag("whole") ? RequestRouter.Scope.COMPLETE : RequestRouter.Scope.CHANGES,
                 engines);
     }
 
-    private static int index(List<String> names, Json host, String field) {
+    private static int index(List<String> names, JsonObject host, String field) {
         if (names.isEmpty()) {
             return 0;
         }
         int index = names.indexOf(host.text(field, names.get(0)));
         if (index < 0) {
-            throw new BadInput("unknown " + field + " " + host.text(field));
+            throw new InvalidInputException("unknown " + field + " " + host.text(field));
         }
         return index;
     }
--- a/src/main/java/dunlinladder/wire/discovery/Watch.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -1,13 +1,13 @@
-package dunlinladder.wire.discovery;
+package dunlinladder.transport.discovery;
 
 import dunlinladder.core.Clock;
-import dunlinladder.membership.Following;
-import dunlinladder.membership.Following.Command;
-import dunlinladder.membership.Following.Event;
-import dunlinladder.membership.News;
-import dunlinladder.membership.Timing;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.membership.WatchStateMachine;
+import dunlinladder.membership.WatchStateMachine.Command;
+import dunlinladder.membership.WatchStateMachine.Event;
+import dunlinladder.membership.WatchTimeouts;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -22,34 +22,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows discovery over HTTP as {@link Following} says, each link on a thread of its own. Until there is news the last
- * list stands. News is taken in by the thread that read it, so that nothing waits behind it.
+ * Follows discovery over HTTP as {@link WatchStateMachine} says, each link on a thread of its own. Until there is news
+ * the last list stands. News is taken in by the thread that read it, so that nothing waits behind it.
  */
-public final class Watch implements Runnable {
+public final class EndpointWatcher implements Runnable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointWatcher.class);
     /** Shortest and longest sleep between looks at the clock, in seconds. */
     private static final double SLEEP_LEAST = 0.02;
 
     private static final double SLEEP_MOST = 1;
 
-    private final HostReader reader;
-    private final Timing timing;
+    private final EndpointListReader reader;
+    private final WatchTimeouts timing;
     private final Clock clock;
-    private final Consumer<News> news;
+    private final Consumer<EndpointUpdate> news;
     private final Map<Integer, Link> open = new ConcurrentHashMap<>();
-    private Following state;
+    private WatchStateMachine state;
 
     /**
      * Creates a watch for what came after {@code version}; {@code seed} feeds the pauses between calls, {@code news} is
      * told in order, one at a time.
      */
-    public Watch(HostReader reader, Timing timing, Clock clock, long version, long seed, Consumer<News> news) {
+    public EndpointWatcher(
+            EndpointListReader reader,
+            WatchTimeouts timing,
+            Clock clock,
+            long version,
+            long seed,
+            Consumer<EndpointUpdate> news) {
         this.reader = reader;
         this.timing = timing;
         this.clock = clock;
         this.news = news;
-        this.state = Following.from(timing, version, seed);
+        this.state = WatchStateMachine.from(timing, version, seed);
     }
 
     /** Follows discovery at this address from now on; nothing is missed on the way. */
@@ -94,7 +100,7 @@
     }
 
     private synchronized void on(Event event) {
-        Following.Next next = state.on(event, clock.now());
+        WatchStateMachine.Next next = state.on(event, clock.now());
         state = next.state();
         for (Command command : next.commands()) {
             if (command instanceof Command.Open wanted) {
@@ -112,7 +118,7 @@
         notifyAll();
     }
 
-    private boolean taken(News told) {
+    private boolean taken(EndpointUpdate told) {
         try {
             news.accept(told);
             return true;
@@ -166,7 +172,7 @@
                 if (open.get(wanted.link()) == this) {
                     LOG.warn("discovery at {}: {}", wanted.address(), e.toString());
                 }
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 LOG.warn(
                         "discovery at {} sent what can't be read, the whole list is asked for: {}",
                         wanted.address(),
@@ -205,9 +211,9 @@
                 }
                 on(new Event.Answered(wanted.link()));
                 connection.receiveResponseEntity(response);
-                Json.Values lists =
-                        new Json.Values(response.getEntity().getContent(), () -> on(new Event.Beat(wanted.link())));
-                for (Json list = lists.next(); list != null; list = lists.next()) {
+                JsonObject.Values lists = new JsonObject.Values(
+                        response.getEntity().getContent(), () -> on(new Event.Beat(wanted.link())));
+                for (JsonObject list = lists.next(); list != null; list = lists.next()) {
                     on(new Event.Told(wanted.link(), reader.read(list, false)));
                 }
             }
--- a/src/main/java/dunlinladder/wire/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -1,15 +1,15 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import dunlinladder.core.Attempt;
-import dunlinladder.core.Client;
 import dunlinladder.core.Clock;
-import dunlinladder.core.EngineCalls;
-import dunlinladder.core.Gate;
+import dunlinladder.core.EngineTransport;
 import dunlinladder.core.Limits;
 import dunlinladder.core.Outcome;
 import dunlinladder.core.Outcome.Ending;
+import dunlinladder.core.ResponseSink;
 import dunlinladder.core.Seconds;
-import dunlinladder.wire.BadInput;
+import dunlinladder.core.SendGuard;
+import dunlinladder.transport.json.InvalidInputException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -35,7 +35,7 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /** One attempt on the wire. */
-final class EngineCall extends Exchange implements EngineCalls.Call {
+final class EngineCall extends EngineExchange implements EngineTransport.Call {
 
     /** How far it has come; what a break proves depends on it. */
     private enum Phase {
@@ -45,17 +45,17 @@
     }
 
     private final Attempt attempt;
-    private final Outgoing outgoing;
-    private final Forward forward;
+    private final EngineRequestFactory outgoing;
+    private final EngineRequest forward;
     private final double startedAt;
     private double firstAt = Double.NaN;
-    private final Client client;
+    private final ResponseSink client;
     private final Runnable first;
-    private final Gate gate;
+    private final SendGuard gate;
     private final Clock clock;
     private final ByteBuffer body;
     private final Limits limits;
-    private final Events events;
+    private final EventStreamFilter events;
     private final ByteArrayOutputStream answer = new ByteArrayOutputStream(64);
     private final CompletableFuture<Outcome> done = new CompletableFuture<>();
     private Phase phase = Phase.SENDING;
@@ -68,16 +68,16 @@
     private double heardAt;
 
     EngineCall(
-            Connections connections,
-            Gate gate,
+            EngineConnectionPool connections,
+            SendGuard gate,
             Clock clock,
             Limits limits,
             Attempt attempt,
-            Client client,
+            ResponseSink client,
             Runnable first) {
         super(connections);
         this.attempt = attempt;
-        this.outgoing = (Outgoing) attempt.request().payload();
+        this.outgoing = (EngineRequestFactory) attempt.request().payload();
         this.forward = outgoing.to(attempt.engine());
         this.startedAt = clock.now();
         this.client = client;
@@ -86,7 +86,7 @@
         this.clock = clock;
         this.body = ByteBuffer.wrap(forward.body());
         this.limits = limits;
-        this.events = new Events(limits.eventBytes());
+        this.events = new EventStreamFilter(limits.eventBytes());
     }
 
     // ---- The core's side ----
@@ -140,7 +140,7 @@
 
     private synchronized void settle(Outcome outcome) {
         if (!done.isDone()) {
-            outgoing.ended(attempt.engine(), outcome, status, firstAt - startedAt);
+            outgoing.attemptEnded(attempt.engine(), outcome, status, firstAt - startedAt);
             done.complete(outcome);
         }
     }
@@ -150,7 +150,7 @@
     /** News that the engine drains also stops what was decided before it and waited for a connection. */
     @Override
     boolean mayStart() {
-        return gate.open(attempt.engine());
+        return gate.allows(attempt.engine());
     }
 
     /** Only what breaks before the request's last byte is written has certainly not run. */
@@ -171,7 +171,7 @@
             throw new ConnectionClosedException("the engine drains");
         }
         BasicHttpRequest request = new BasicHttpRequest(forward.method(), forward.target());
-        request.setAuthority(Connections.authority(attempt.engine()));
+        request.setAuthority(EngineConnectionPool.authority(attempt.engine()));
         request.setHeader("X-Request-ID", attempt.request().id());
         request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.until() - clock.now())));
         boolean empty = !body.hasRemaining();
@@ -231,8 +231,8 @@
             throw new ProtocolException("a stream without chunks");
         }
         notRun = response.containsHeader("X-Not-Processed");
-        Header load = response.getFirstHeader(Reports.HEADER);
-        report = Reports.load(load == null ? null : load.getValue());
+        Header load = response.getFirstHeader(EngineReportReader.HEADER);
+        report = EngineReportReader.load(load == null ? null : load.getValue());
     }
 
     @Override
@@ -281,7 +281,7 @@
             // What waits for the rest of its event is not the client's to take.
             taken(size - Math.max(0, whole.remaining() - held));
             pass(whole, held);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new IOException("the stream is spoilt: " + e.getMessage());
         }
     }
@@ -306,7 +306,7 @@
             first.run();
         }
         int[] ahead = {credited};
-        client.data(whole, n -> {
+        client.writeEvents(whole, n -> {
             synchronized (this) {
                 untaken -= n;
                 heardAt = clock.now();
@@ -322,7 +322,7 @@
         String text = answer.toString(StandardCharsets.UTF_8);
         switch (status) {
             case 200 -> served();
-            case 202 -> settle(new Outcome(Ending.READ, Reports.keptInRead(text), report));
+            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.keptInRead(text), report));
             case 410 -> settle(new Outcome(Ending.FULL, 1, report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
             default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
@@ -334,7 +334,7 @@
         try {
             int held = events.held();
             pass(events.end(), held);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new IOException("the stream is spoilt: " + e.getMessage());
         }
         settle(
--- a/src/main/java/dunlinladder/wire/engine/EngineClient.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineClient.java
@@ -1,14 +1,14 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import dunlinladder.core.Attempt;
-import dunlinladder.core.Client;
 import dunlinladder.core.Clock;
 import dunlinladder.core.Engine;
-import dunlinladder.core.EngineCalls;
-import dunlinladder.core.Engines;
-import dunlinladder.core.Gate;
+import dunlinladder.core.EngineRegistry;
+import dunlinladder.core.EngineTransport;
 import dunlinladder.core.Limits;
 import dunlinladder.core.ReleaseOrder;
+import dunlinladder.core.ResponseSink;
+import dunlinladder.core.SendGuard;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -16,11 +16,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The engines over HTTP. */
-public final class EngineClient implements EngineCalls {
+public final class EngineClient implements EngineTransport {
 
-    private final Connections connections;
-    private final Engines engines;
-    private final Gate gate;
+    private final EngineConnectionPool connections;
+    private final EngineRegistry engines;
+    private final SendGuard gate;
     private final Clock clock;
     private final Limits limits;
     private final ScheduledExecutorService timer;
@@ -28,9 +28,9 @@
 
     /** Creates a client; {@code timer} moves releases on that get no answer. */
     public EngineClient(
-            Connections connections,
-            Engines engines,
-            Gate gate,
+            EngineConnectionPool connections,
+            EngineRegistry engines,
+            SendGuard gate,
             Clock clock,
             Limits limits,
             ScheduledExecutorService timer) {
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Call send(Attempt attempt, Client client, Runnable first) {
+    public Call send(Attempt attempt, ResponseSink client, Runnable first) {
         EngineCall call = new EngineCall(connections, gate, clock, limits, attempt, client, first);
         call.start(attempt.engine().address());
         return call;
--- a/src/main/java/dunlinladder/wire/engine/Connections.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
@@ -1,9 +1,9 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import dunlinladder.core.Engine;
 import dunlinladder.core.Limits;
-import dunlinladder.wire.ChunkReader;
-import dunlinladder.wire.HeadParser;
+import dunlinladder.transport.http.ChunkedBodyDecoder;
+import dunlinladder.transport.http.MessageHeadParser;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
@@ -50,9 +50,9 @@
  * rather than endpoints, because an attempt is given up by closing its connection at once, while an endpoint's own
  * release waits for the exchange to end. Nothing here sends anything twice.
  */
-public final class Connections implements AutoCloseable {
+public final class EngineConnectionPool implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Connections.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EngineConnectionPool.class);
 
     private final HttpAsyncRequester requester;
     private final StrictConnPool<HttpHost, IOSession> pool;
@@ -70,12 +70,12 @@
     private final Http1Config config;
 
     /** Starts the requester. */
-    public Connections(Limits limits, ScheduledExecutorService timer) {
+    public EngineConnectionPool(Limits limits, ScheduledExecutorService timer) {
         this.limits = limits;
         this.connectTimeout = Timeout.ofMilliseconds((long) (limits.connectSeconds() * 1000));
         this.timer = timer;
         this.distrustedAt = System.nanoTime() - (long) (limits.distrustSeconds() * 1e9) - 1;
-        this.config = HeadParser.config(limits);
+        this.config = MessageHeadParser.config(limits);
         // The pool's own limit for a route is 5 by default; here only the total binds.
         pool = new StrictConnPool<>(
                 limits.engineConnections(),
@@ -112,7 +112,7 @@
                         config,
                         CharCodingConfig.DEFAULT,
                         null,
-                        new HeadParser<>(
+                        new MessageHeadParser<>(
                                 new DefaultHttpResponseParserFactory(config).create(),
                                 limits.headBytes(),
                                 limits.interimAnswers()),
@@ -128,7 +128,7 @@
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
                         return length == -1
-                                ? new ChunkReader(channel, buffer, limits.chunkBytes())
+                                ? new ChunkedBodyDecoder(channel, buffer, limits.chunkBytes())
                                 : super.createContentDecoder(length, channel, buffer, metrics);
                     }
                 });
--- a/src/main/java/dunlinladder/wire/engine/Exchange.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineExchange.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import java.io.IOException;
 import java.net.SocketException;
@@ -21,16 +21,16 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 /** One request on one outgoing connection: takes a connection, and gives it back or closes it at the end. */
-abstract class Exchange implements AsyncClientExchangeHandler, Connections.Waiting {
+abstract class EngineExchange implements AsyncClientExchangeHandler, EngineConnectionPool.Waiting {
 
-    private final Connections connections;
+    private final EngineConnectionPool connections;
     private PoolEntry<HttpHost, IOSession> entry;
     private boolean kept;
     private boolean answered;
     private boolean over;
     private boolean closing;
 
-    Exchange(Connections connections) {
+    EngineExchange(EngineConnectionPool connections) {
         this.connections = connections;
     }
 
--- /dev/null
+++ b/src/main/java/dunlinladder/transport/engine/EngineRequest.java
@@ -0,0 +1,13 @@
+package dunlinladder.transport.engine;
+
+import dunlinladder.core.Engine;
+
+/** What goes to an engine, the same to all: method, path with query, content type and body. */
+public record EngineRequest(String method, String target, String contentType, byte[] body)
+        implements EngineRequestFactory {
+
+    @Override
+    public EngineRequest to(Engine engine) {
+        return this;
+    }
+}
--- a/src/main/java/dunlinladder/wire/engine/Events.java
+++ b/src/main/java/dunlinladder/transport/engine/EventStreamFilter.java
@@ -1,7 +1,7 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -12,9 +12,9 @@
  * Cuts an engine's stream into whole events and looks at each line before it is passed on, as it came. What is not an
  * event of this protocol is noise, whatever its chunk said, and would be served as an answer.
  */
-final class Events {
+final class EventStreamFilter {
 
-    private static final String REPORT = ": " + Reports.HEADER + ":";
+    private static final String REPORT = ": " + EngineReportReader.HEADER + ":";
 
     private final int most;
     private byte[] held = new byte[512];
@@ -25,7 +25,7 @@
     private Map<String, Double> report = Map.of();
 
     /** Creates a cutter for events of at most {@code most} bytes. */
-    Events(int most) {
+    EventStreamFilter(int most) {
         this.most = most;
     }
 
@@ -52,7 +52,7 @@
             }
         }
         if (size - whole > most) {
-            throw new BadInput("an event is over " + most + " bytes");
+            throw new InvalidInputException("an event is over " + most + " bytes");
         }
         return take(whole);
     }
@@ -86,23 +86,23 @@
                     .decode(ByteBuffer.wrap(held, start, stop - start))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new BadInput("a line that is not UTF-8");
+            throw new InvalidInputException("a line that is not UTF-8");
         }
         if (text.startsWith("data:")) {
             data(text.substring(5).trim());
         } else if (text.startsWith(REPORT)) {
-            report = Reports.load(text.substring(REPORT.length()));
+            report = EngineReportReader.load(text.substring(REPORT.length()));
         } else if (!text.matches("(:|event:|id:|retry:)[^\\p{Cntrl}]*")) {
-            throw new BadInput("a line that belongs to no event");
+            throw new InvalidInputException("a line that belongs to no event");
         }
         return false;
     }
 
     private void data(String text) {
         if (!text.equals("[DONE]")) {
-            Json event = Json.parse(text);
+            JsonObject event = JsonObject.parse(text);
             if (event.has("usage")) {
-                kept = Reports.kept(event);
+                kept = EngineReportReader.kept(event);
             }
         }
         data = true;
--- a/src/main/java/dunlinladder/wire/engine/ReleaseCall.java
+++ b/src/main/java/dunlinladder/transport/engine/ReleaseCall.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import dunlinladder.core.Engine;
 import dunlinladder.core.Limits;
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /** One DELETE of what is held for a request, at one engine. */
-final class ReleaseCall extends Exchange {
+final class ReleaseCall extends EngineExchange {
 
     private static final Logger LOG = LoggerFactory.getLogger(ReleaseCall.class);
 
@@ -36,7 +36,7 @@
      * timer's thread.
      */
     static final class Chain {
-        private final Connections connections;
+        private final EngineConnectionPool connections;
         private final ScheduledExecutorService timer;
         private final Limits limits;
         private final String id;
@@ -48,7 +48,7 @@
 
         /** {@code over} runs once, when an engine has answered or none is left to be asked. */
         Chain(
-                Connections connections,
+                EngineConnectionPool connections,
                 ScheduledExecutorService timer,
                 Limits limits,
                 String id,
@@ -124,7 +124,7 @@
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         BasicHttpRequest request = new BasicHttpRequest("DELETE", "/internal/reservations/" + chain.id);
-        request.setAuthority(Connections.authority(engine));
+        request.setAuthority(EngineConnectionPool.authority(engine));
         channel.sendRequest(request, null, context);
     }
 
--- a/src/main/java/dunlinladder/wire/engine/Pulse.java
+++ b/src/main/java/dunlinladder/transport/engine/SchedulingLagMonitor.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -18,9 +18,9 @@
  * to itself, beside those to the engines. The age of an engine's answer can't be seen, but it has waited in the same
  * row.
  */
-public final class Pulse implements IOEventHandler, AutoCloseable {
+public final class SchedulingLagMonitor implements IOEventHandler, AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Pulse.class);
+    private static final Logger LOG = LoggerFactory.getLogger(SchedulingLagMonitor.class);
 
     private final SocketChannel sending;
     private final ByteBuffer beat = ByteBuffer.allocate(1);
@@ -31,7 +31,7 @@
     private double last;
 
     /** Opens the connection. */
-    public Pulse(Connections connections) throws IOException {
+    public SchedulingLagMonitor(EngineConnectionPool connections) throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
             int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
--- a/src/main/java/dunlinladder/wire/ChunkReader.java
+++ b/src/main/java/dunlinladder/transport/http/ChunkedBodyDecoder.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -17,7 +17,7 @@
  * and throws away what it has decoded when a fault or the end follows in the same read. Here a call that brings data
  * never looks at what stands behind it; the fault is the next call's.
  */
-public final class ChunkReader implements ContentDecoder {
+public final class ChunkedBodyDecoder implements ContentDecoder {
 
     private static final Pattern SIZE = Pattern.compile("[0-9A-Fa-f]{1,8}");
     private static final int MOST_LINE = 256;
@@ -40,7 +40,7 @@
     private int trailers;
 
     /** Creates a decoder for chunks of at most {@code most} bytes. */
-    public ChunkReader(ReadableByteChannel channel, SessionInputBuffer buffer, int most) {
+    public ChunkedBodyDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, int most) {
         this.channel = channel;
         this.buffer = buffer;
         this.most = most;
--- a/src/main/java/dunlinladder/wire/ClientConnection.java
+++ b/src/main/java/dunlinladder/transport/http/ClientConnection.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import dunlinladder.core.Limits;
 import dunlinladder.core.Seconds;
@@ -44,7 +44,7 @@
     private final ProtocolIOSession session;
     private final Limits limits;
     private final Supplier<? extends ServerExchange> exchanges;
-    private final HeadParser<HttpRequest> parser;
+    private final MessageHeadParser<HttpRequest> parser;
     private volatile ServerExchange open;
     /** When it connected, its last answer ended, or the first byte behind that came. */
     private volatile long since = System.nanoTime();
@@ -70,7 +70,8 @@
         this.session = session;
         this.limits = limits;
         this.exchanges = exchanges;
-        this.parser = new HeadParser<>(new DefaultHttpRequestParserFactory(config).create(), limits.headBytes(), 0);
+        this.parser =
+                new MessageHeadParser<>(new DefaultHttpRequestParserFactory(config).create(), limits.headBytes(), 0);
     }
 
     /** The handler that HttpCore drives this connection with. */
@@ -98,7 +99,7 @@
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
                         return length == -1
-                                ? new ChunkReader(channel, buffer, limits.chunkBytes())
+                                ? new ChunkedBodyDecoder(channel, buffer, limits.chunkBytes())
                                 : super.createContentDecoder(length, channel, buffer, metrics);
                     }
                 });
--- a/src/main/java/dunlinladder/wire/Server.java
+++ b/src/main/java/dunlinladder/transport/http/HttpListener.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import dunlinladder.core.Limits;
 import java.io.IOException;
@@ -31,9 +31,9 @@
 import org.slf4j.LoggerFactory;
 
 /** One listening address and the client connections that came in by it. */
-public final class Server implements AutoCloseable {
+public final class HttpListener implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Server.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
 
     // ResponseConnControl is left out: it closes the connection after every 503.
     private final HttpProcessor processor = HttpProcessorBuilder.create()
@@ -52,11 +52,11 @@
     private ListenerEndpoint endpoint;
 
     /** Creates a server for so many connections; each request gets an exchange of its own. */
-    public Server(int mostConnections, Limits limits, Supplier<? extends ServerExchange> exchanges) {
+    public HttpListener(int mostConnections, Limits limits, Supplier<? extends ServerExchange> exchanges) {
         this.most = mostConnections;
         this.limits = limits;
         this.exchanges = exchanges;
-        config = HeadParser.config(limits);
+        config = MessageHeadParser.config(limits);
         server = new HttpAsyncServer(
                 this::connection,
                 IOReactorConfig.custom()
--- a/src/main/java/dunlinladder/wire/HeadParser.java
+++ b/src/main/java/dunlinladder/transport/http/MessageHeadParser.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import dunlinladder.core.Limits;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * takes for a body, the other would take for a request behind it. HttpCore's parser alone bounds lines and their count,
  * prefers one of two lengths, and takes what has come of a head for all of it when the connection ends.
  */
-public final class HeadParser<T extends HttpMessage> implements NHttpMessageParser<T> {
+public final class MessageHeadParser<T extends HttpMessage> implements NHttpMessageParser<T> {
 
     private static final Pattern NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
@@ -33,7 +33,7 @@
     private int interim;
 
     /** Wraps a parser; a head may have {@code most} bytes, and so many 1xx heads may go before an answer. */
-    public HeadParser(NHttpMessageParser<T> parser, int most, int mostInterim) {
+    public MessageHeadParser(NHttpMessageParser<T> parser, int most, int mostInterim) {
         this.parser = parser;
         this.most = most;
         this.mostInterim = mostInterim;
--- a/src/main/java/dunlinladder/wire/ServerExchange.java
+++ b/src/main/java/dunlinladder/transport/http/ServerExchange.java
@@ -1,9 +1,9 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
-import dunlinladder.core.Client;
 import dunlinladder.core.Dispatcher;
 import dunlinladder.core.Limits;
 import dunlinladder.core.Request;
+import dunlinladder.core.ResponseSink;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -101,13 +101,13 @@
      * Has the core take a request, which ends with this exchange; false when its id is in use. One that comes as late
      * as the connections close is refused: where engines hang the kill would find it unanswered.
      */
-    protected final boolean take(Request core, Client client) {
+    protected final boolean take(Request core, ResponseSink client) {
         if (closing.getAsBoolean()) {
-            client.refuse(0);
+            client.reject(0);
             return true;
         }
         requestId = core.id();
-        boolean fresh = dispatcher.take(core, client);
+        boolean fresh = dispatcher.submit(core, client);
         requestId = fresh ? requestId : null;
         return fresh;
     }
@@ -131,7 +131,7 @@
     protected abstract void tooLong();
 
     /** Final answer: trying again is harmless. */
-    public abstract void refuse(double retryAfter);
+    public abstract void reject(double retryAfter);
 
     // ---- Answers ----
 
@@ -290,7 +290,7 @@
             tooLong();
         } else if (!refused && !hold(size)) {
             refused = true;
-            refuse(0);
+            reject(0);
         }
         if (refused) {
             body.reset();
@@ -345,7 +345,7 @@
             pieces.clear();
         }
         if (requestId != null) {
-            dispatcher.gone(requestId);
+            dispatcher.clientDisconnected(requestId);
         }
         return true;
     }
--- a/src/main/java/dunlinladder/wire/Json.java
+++ b/src/main/java/dunlinladder/transport/json/JsonObject.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.json;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -20,38 +20,39 @@
 import java.util.Set;
 
 /** A JSON object with typed look-ups that name what is missing or of the wrong type. */
-public record Json(String where, Map<String, Object> fields) {
+public record JsonObject(String where, Map<String, Object> fields) {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
     /** Parses one line that holds one object. */
-    public static Json parse(String line) {
+    public static JsonObject parse(String line) {
         return parse(line, "line");
     }
 
     /** Parses a text that holds one object; {@code where} names it in what is said of its fields. */
-    public static Json parse(String line, String where) {
+    public static JsonObject parse(String line, String where) {
         try (JsonParser parser = FACTORY.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("not a JSON object: " + shorten(line));
+                throw new InvalidInputException("not a JSON object: " + shorten(line));
             }
-            Json json = new Json(where, object(parser));
+            JsonObject json = new JsonObject(where, object(parser));
             if (parser.nextToken() != null) {
-                throw new BadInput("more than one value on a line: " + shorten(line));
+                throw new InvalidInputException("more than one value on a line: " + shorten(line));
             }
             return json;
         } catch (IOException e) {
-            throw new BadInput("not JSON: " + shorten(line));
+            throw new InvalidInputException("not JSON: " + shorten(line));
         }
     }
 
     /** Parses a TOML document into the same form. */
-    public static Json parseToml(String text) {
+    public static JsonObject parseToml(String text) {
         try (JsonParser parser = new TomlFactory().createParser(text)) {
             parser.nextToken();
-            return new Json("file", object(parser));
+            return new JsonObject("file", object(parser));
         } catch (IOException e) {
-            throw new BadInput("not TOML: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new InvalidInputException(
+                    "not TOML: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -66,15 +67,15 @@
         }
 
         /** The next object once all of it has come, null at the end. */
-        public Json next() throws IOException {
+        public JsonObject next() throws IOException {
             try {
                 JsonToken token = parser.nextToken();
                 if (token != null && token != JsonToken.START_OBJECT) {
-                    throw new BadInput("not a JSON object: " + token);
+                    throw new InvalidInputException("not a JSON object: " + token);
                 }
-                return token == null ? null : new Json("list", object(parser));
+                return token == null ? null : new JsonObject("list", object(parser));
             } catch (JsonProcessingException e) {
-                throw new BadInput("not JSON: " + e.getOriginalMessage());
+                throw new InvalidInputException("not JSON: " + e.getOriginalMessage());
             }
         }
     }
@@ -179,10 +180,10 @@
     private <T> T get(String name, Class<T> type) {
         Object value = fields.get(name);
         if (value == null) {
-            throw new BadInput("missing field '" + name + "' in " + where);
+            throw new InvalidInputException("missing field '" + name + "' in " + where);
         }
         if (!type.isInstance(value)) {
-            throw new BadInput("field '" + name + "' in " + where + " is not a " + kind(type));
+            throw new InvalidInputException("field '" + name + "' in " + where + " is not a " + kind(type));
         }
         return type.cast(value);
     }
@@ -221,7 +222,7 @@
     public int whole(String name, int least, int most) {
         double value = within(name, number(name), least, most);
         if (value != Math.rint(value)) {
-            throw new BadInput(where + "." + name + " must be a whole number, not " + value);
+            throw new InvalidInputException(where + "." + name + " must be a whole number, not " + value);
         }
         return (int) value;
     }
@@ -230,7 +231,7 @@
         if (value >= least && value <= most) {
             return value;
         }
-        throw new BadInput(
+        throw new InvalidInputException(
                 where + "." + name + " must be " + (least == Double.MIN_VALUE ? "over 0" : plain(least) + " or more")
                         + " and at most " + plain(most) + ", not " + plain(value));
     }
@@ -247,7 +248,7 @@
             return absent;
         }
         if (!meaning.containsKey(text(name))) {
-            throw new BadInput(where + "." + name + " must be one of "
+            throw new InvalidInputException(where + "." + name + " must be one of "
                     + meaning.keySet().stream().sorted().toList() + ", not " + text(name));
         }
         return meaning.get(text(name));
@@ -256,7 +257,7 @@
     /** A list of such values. */
     public <T> List<T> choices(String name, Map<String, T> meaning) {
         return texts(name).stream()
-                .map(text -> new Json(where, Map.of(name, text)).choice(name, null, meaning))
+                .map(text -> new JsonObject(where, Map.of(name, text)).choice(name, null, meaning))
                 .toList();
     }
 
@@ -281,22 +282,22 @@
     }
 
     @SuppressWarnings("unchecked")
-    public Json child(String name) {
-        return new Json(where + "." + name, (Map<String, Object>) get(name, Map.class));
+    public JsonObject child(String name) {
+        return new JsonObject(where + "." + name, (Map<String, Object>) get(name, Map.class));
     }
 
-    public Json childOrEmpty(String name) {
-        return has(name) ? child(name) : new Json(where + "." + name, Map.of());
+    public JsonObject childOrEmpty(String name) {
+        return has(name) ? child(name) : new JsonObject(where + "." + name, Map.of());
     }
 
     @SuppressWarnings("unchecked")
-    public List<Json> children(String name) {
-        List<Json> result = new ArrayList<>();
+    public List<JsonObject> children(String name) {
+        List<JsonObject> result = new ArrayList<>();
         for (Object entry : get(name, List.class)) {
             if (!(entry instanceof Map)) {
-                throw new BadInput("an entry of '" + name + "' in " + where + " is not an object");
+                throw new InvalidInputException("an entry of '" + name + "' in " + where + " is not an object");
             }
-            result.add(new Json(where + "." + name + "[" + result.size() + "]", (Map<String, Object>) entry));
+            result.add(new JsonObject(where + "." + name + "[" + result.size() + "]", (Map<String, Object>) entry));
         }
         return result;
     }
@@ -307,7 +308,7 @@
         if (has(name)) {
             for (Object entry : get(name, List.class)) {
                 if (!(entry instanceof Number n)) {
-                    throw new BadInput("an entry of '" + name + "' in " + where + " is not a number");
+                    throw new InvalidInputException("an entry of '" + name + "' in " + where + " is not a number");
                 }
                 result.add(n.doubleValue());
             }
@@ -319,7 +320,7 @@
         List<String> result = new ArrayList<>();
         for (Object entry : get(name, List.class)) {
             if (!(entry instanceof String text)) {
-                throw new BadInput("an entry of '" + name + "' in " + where + " is not a string");
+                throw new InvalidInputException("an entry of '" + name + "' in " + where + " is not a string");
             }
             result.add(text);
         }
@@ -336,7 +337,7 @@
         if (names.isEmpty()
                 || names.stream().anyMatch(String::isBlank)
                 || names.stream().distinct().count() < names.size()) {
-            throw new BadInput(where + " must hold names, none of them empty or twice: " + names);
+            throw new InvalidInputException(where + " must hold names, none of them empty or twice: " + names);
         }
         return names;
     }
--- a/src/main/java/dunlinladder/wire/platform/PlatformExchange.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformExchange.java
@@ -1,13 +1,13 @@
-package dunlinladder.wire.platform;
+package dunlinladder.transport.platform;
 
-import dunlinladder.core.Client;
 import dunlinladder.core.Clock;
 import dunlinladder.core.Dispatcher;
 import dunlinladder.core.Limits;
+import dunlinladder.core.ResponseSink;
 import dunlinladder.core.Seconds;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.ServerExchange;
-import dunlinladder.wire.engine.Forward;
+import dunlinladder.transport.engine.EngineRequest;
+import dunlinladder.transport.http.ServerExchange;
+import dunlinladder.transport.json.InvalidInputException;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
@@ -16,14 +16,14 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /** One request in the platform's protocol; its client as the core sees it. */
-public final class PlatformExchange extends ServerExchange implements Client {
+public final class PlatformExchange extends ServerExchange implements ResponseSink {
 
     private static final String TEXT = "text/plain; charset=utf-8";
 
     /** What all exchanges of this front share. */
     public record Shared(
             Dispatcher dispatcher,
-            RequestReader reader,
+            PlatformRequestReader reader,
             Clock clock,
             Limits limits,
             BooleanSupplier draining,
@@ -52,16 +52,19 @@
             boolean ready = !shared.draining.getAsBoolean();
             answer(ready ? 200 : 503, TEXT, ready ? "up\n" : "draining\n", Map.of());
         } else {
-            take(head, new Forward(head.getMethod(), head.getRequestUri(), header(head, "Content-Type"), content), now);
+            take(
+                    head,
+                    new EngineRequest(head.getMethod(), head.getRequestUri(), header(head, "Content-Type"), content),
+                    now);
         }
     }
 
-    private void take(HttpRequest head, Forward forward, double now) {
+    private void take(HttpRequest head, EngineRequest forward, double now) {
         try {
             if (!take(shared.reader.read(name -> header(head, name), forward, now), this)) {
-                throw new BadInput("X-Request-ID is in use");
+                throw new InvalidInputException("X-Request-ID is in use");
             }
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             answer(400, TEXT, e.getMessage() + "\n", Map.of());
         }
     }
@@ -74,7 +77,7 @@
     // ---- The core's side ----
 
     @Override
-    public void data(ByteBuffer piece, IntConsumer taken) {
+    public void writeEvents(ByteBuffer piece, IntConsumer taken) {
         if (!open) {
             open = true;
             open("text/event-stream", Map.of("Cache-Control", "no-cache"));
@@ -83,17 +86,17 @@
     }
 
     @Override
-    public void end() {
+    public void complete() {
         finish();
     }
 
     @Override
-    public void cut() {
+    public void abortStream() {
         abort();
     }
 
     @Override
-    public void refuse(double retryAfter) {
+    public void reject(double retryAfter) {
         double advice = retryAfter > 0 ? retryAfter : shared.limits.retryAfterSeconds();
         answer(503, TEXT, "refused: trying again is harmless\n", Map.of("Retry-After", Seconds.text(advice)));
     }
--- a/src/main/java/dunlinladder/wire/platform/RequestReader.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
@@ -1,8 +1,8 @@
-package dunlinladder.wire.platform;
+package dunlinladder.transport.platform;
 
 import dunlinladder.core.Request;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.engine.Forward;
+import dunlinladder.transport.engine.EngineRequest;
+import dunlinladder.transport.json.InvalidInputException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 
 /** Reads the platform's request headers. */
-public final class RequestReader {
+public final class PlatformRequestReader {
 
     private static final int MOST_ID = 128;
     /** Java's own reading also takes hexadecimal, exponents and a trailing d. */
@@ -22,17 +22,17 @@
     private final List<String> tenants;
 
     /** Creates a reader for a deployment's classes, their deadlines in seconds, and tenants. */
-    public RequestReader(List<String> classes, List<Double> deadlines, List<String> tenants) {
+    public PlatformRequestReader(List<String> classes, List<Double> deadlines, List<String> tenants) {
         this.classes = classes;
         this.deadlines = deadlines;
         this.tenants = tenants;
     }
 
-    /** Translates a request that came at {@code now}; a {@link BadInput} names the faulty header. */
-    Request read(UnaryOperator<String> headers, Forward forward, double now) {
+    /** Translates a request that came at {@code now}; a {@link InvalidInputException} names the faulty header. */
+    Request read(UnaryOperator<String> headers, EngineRequest forward, double now) {
         String id = headers.apply("X-Request-ID");
         if (id == null || id.isEmpty() || id.length() > MOST_ID || !id.matches("[A-Za-z0-9._~:-]+")) {
-            throw new BadInput("X-Request-ID is missing or malformed");
+            throw new InvalidInputException("X-Request-ID is missing or malformed");
         }
         int serviceClass = index(classes, headers.apply("X-Priority-Class"), "X-Priority-Class");
         int tenant = tenants.isEmpty() ? 0 : index(tenants, headers.apply("X-Tenant-Id"), "X-Tenant-Id");
@@ -67,7 +67,7 @@
             index = names.indexOf(new String(name.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8));
         }
         if (index < 0) {
-            throw new BadInput(header + (name == null ? " is missing" : " names nothing known: " + name));
+            throw new InvalidInputException(header + (name == null ? " is missing" : " names nothing known: " + name));
         }
         return index;
     }
@@ -76,7 +76,7 @@
         if (NUMBER.matcher(text).matches()) {
             return Double.parseDouble(text);
         }
-        throw new BadInput(header + " is not a number from 0 on: " + text);
+        throw new InvalidInputException(header + " is not a number from 0 on: " + text);
     }
 
     private static Map<String, String> pairs(String text) {
@@ -84,7 +84,7 @@
         for (String pair : text == null || text.isBlank() ? new String[0] : text.split(",")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
-                throw new BadInput("X-Attrs is not a list of name=value: " + text);
+                throw new InvalidInputException("X-Attrs is not a list of name=value: " + text);
             }
             pairs.put(
                     pair.substring(0, equals).trim(), pair.substring(equals + 1).trim());
--- a/src/main/java/dunlinladder/wire/sim/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
@@ -1,8 +1,8 @@
-package dunlinladder.wire.sim;
+package dunlinladder.transport.simulator;
 
-import dunlinladder.decision.Router;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,8 +11,8 @@
 
 /**
  * Reads a deployment's settings, the same for the simulator's wire and for a gateway's configuration. Whatever is
- * missing that must be there, out of range, of the wrong type or names nothing defined is a {@link BadInput} that names
- * its field. Fields not known are left aside: the platform may add some.
+ * missing that must be there, out of range, of the wrong type or names nothing defined is a
+ * {@link InvalidInputException} that names its field. Fields not known are left aside: the platform may add some.
  */
 public final class SettingsReader {
 
@@ -88,14 +88,15 @@
     private SettingsReader() {}
 
     /** Reads and checks the settings. */
-    public static Router.Settings read(Json info) {
-        Json caps = info.childOrEmpty("caps");
-        Json family = info.childOrEmpty("family-info");
+    public static Router.Settings read(JsonObject info) {
+        JsonObject caps = info.childOrEmpty("caps");
+        JsonObject family = info.childOrEmpty("family-info");
         List<Router.Role> roles = family.choices(
-                "role-by-kind", Map.of("read", Router.Role.READ, "write", Router.Role.WRITE, "both", Router.Role.BOTH));
+                "role-by-kind",
+                Map.of("read", Router.Role.PREFILL, "write", Router.Role.DECODE, "both", Router.Role.MIXED));
         // The simulator's drills name neither kinds nor zones; a gateway cannot read its list without.
         if (info.has("kinds") && roles.size() != info.names("kinds").size()) {
-            throw new BadInput(family.where() + ".role-by-kind has " + roles.size() + " entries for "
+            throw new InvalidInputException(family.where() + ".role-by-kind has " + roles.size() + " entries for "
                     + info.names("kinds").size() + " kinds");
         }
         int zones = info.has("zones") ? Math.max(1, zones(info).size()) : MANY;
@@ -117,7 +118,7 @@
     }
 
     /** Where fields stand that no page names. */
-    public static List<String> unknown(Json info) {
+    public static List<String> unknown(JsonObject info) {
         Stream<List<String>> found = Stream.of(
                 info.unknown(TOP),
                 info.childOrEmpty("caps").unknown(CAPS),
@@ -130,27 +131,27 @@
     }
 
     /** The names of the zones, none where a deployment has no zones. */
-    public static List<String> zones(Json info) {
+    public static List<String> zones(JsonObject info) {
         return info.texts("zones").isEmpty() ? List.of() : info.names("zones");
     }
 
     /** The tenants, possibly none. */
-    public static List<Json> projects(Json info) {
+    public static List<JsonObject> projects(JsonObject info) {
         return info.has("projects") ? info.children("projects") : List.of();
     }
 
-    private static List<Double> quotas(Json info) {
+    private static List<Double> quotas(JsonObject info) {
         return projects(info).stream()
                 .map(p -> p.number("quota-per-s", Double.POSITIVE_INFINITY, 0, MOST))
                 .toList();
     }
 
-    private static List<Router.ServiceClass> classes(Json info, Json family) {
-        List<Json> entries = info.children("classes");
+    private static List<Router.ServiceClass> classes(JsonObject info, JsonObject family) {
+        List<JsonObject> entries = info.children("classes");
         List<Double> perKilotoken = figures(family, "aim-us-per-1000-prompt-tokens", entries.size());
         List<Double> tokenAims = figures(family, "token-aim", entries.size());
         List<Router.ServiceClass> classes = new ArrayList<>();
-        for (Json entry : entries) {
+        for (JsonObject entry : entries) {
             int index = classes.size();
             // Where nothing is said of repeats, none is safe.
             Router.Effect effect = entry.choice(
@@ -177,10 +178,10 @@
     }
 
     /** Figures of which there is one for each of so many; those that are absent are none. */
-    private static List<Double> figures(Json from, String name, int most) {
+    private static List<Double> figures(JsonObject from, String name, int most) {
         List<Double> figures = from.numbers(name);
         if (figures.size() > most || figures.stream().anyMatch(figure -> !(figure >= 0 && figure <= MOST))) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     from.where() + "." + name + " must hold at most " + most + " figures, 0 or more: " + figures);
         }
         return figures;
@@ -190,7 +191,7 @@
         return index < list.size() ? list.get(index) : 0;
     }
 
-    private static Router.Rules rules(Json rules, Json family) {
+    private static Router.Rules rules(JsonObject rules, JsonObject family) {
         return new Router.Rules(
                 rules.number("answer-slack", 0, 0, MOST),
                 rules.number("stop-sending-within", 0, 0, MOST),
--- a/src/main/java/dunlinladder/wire/sim/Wire.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorCodec.java
@@ -1,21 +1,21 @@
-package dunlinladder.wire.sim;
+package dunlinladder.transport.simulator;
 
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
-import dunlinladder.decision.Router;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The wire's spelling: JSON to events, actions to JSON. Holds no decisions. */
-public final class Wire {
+public final class SimulatorCodec {
 
-    private Wire() {}
+    private SimulatorCodec() {}
 
     /** Translates an event; null for one that the module has no use for. */
-    static Router.Event event(String name, Json body) {
+    static Router.Event event(String name, JsonObject body) {
         return switch (name) {
             case "Membership" -> members(body);
             case "JobIn" -> new Router.Arrival(request(body));
@@ -29,17 +29,17 @@
         };
     }
 
-    private static Router.Members members(Json body) {
+    private static Router.Members members(JsonObject body) {
         Router.Scope scope = switch (body.text("scope")) {
             case "D" -> Router.Scope.CHANGES;
             case "F" -> Router.Scope.COMPLETE;
             case "C" -> Router.Scope.CACHED;
             case "X" -> Router.Scope.FAILED;
-            default -> throw new BadInput("unknown scope " + body.text("scope") + " in Membership");
+            default -> throw new InvalidInputException("unknown scope " + body.text("scope") + " in Membership");
         };
         List<Router.Member> members = new ArrayList<>();
         if (body.has("nodes-list")) {
-            for (Json entry : body.children("nodes-list")) {
+            for (JsonObject entry : body.children("nodes-list")) {
                 Router.Lifecycle lifecycle = switch (entry.text("lifecycle", "active")) {
                     case "active" -> Router.Lifecycle.ACTIVE;
                     case "leaving" -> Router.Lifecycle.LEAVING;
@@ -58,7 +58,7 @@
         return new Router.Members(scope, members);
     }
 
-    private static Router.Request request(Json body) {
+    private static Router.Request request(JsonObject body) {
         return new Router.Request(
                 body.text("id"),
                 (int) body.integer("tier-class", 0),
@@ -74,10 +74,10 @@
                 body.flag("returned"));
     }
 
-    private static Router.Outcome outcome(Json body) {
+    private static Router.Outcome outcome(JsonObject body) {
         Map<String, Double> report = new LinkedHashMap<>();
         if (body.has("server-stats")) {
-            Json stats = body.child("server-stats");
+            JsonObject stats = body.child("server-stats");
             for (String name : stats.fields().keySet()) {
                 report.put(name, stats.number(name, 0));
             }
@@ -96,15 +96,15 @@
     private static Router.Status status(int code) {
         return switch (code) {
             case 100 -> Router.Status.OK;
-            case 210 -> Router.Status.READ;
+            case 210 -> Router.Status.PREFILLED;
             case 301 -> Router.Status.ERROR;
             case 302 -> Router.Status.FULL;
             case 303 -> Router.Status.TIMEOUT;
             case 304 -> Router.Status.CONNECT_FAILED;
             case 305 -> Router.Status.RESET;
             case 306 -> Router.Status.CANCELLED;
-            case 307 -> Router.Status.MOOT;
-            default -> throw new BadInput("unknown outcome " + code + " in Returned");
+            case 307 -> Router.Status.NOT_SENT;
+            default -> throw new InvalidInputException("unknown outcome " + code + " in Returned");
         };
     }
 
--- a/src/main/java/dunlinladder/wire/sim/Host.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
@@ -1,9 +1,9 @@
-package dunlinladder.wire.sim;
+package dunlinladder.transport.simulator;
 
-import dunlinladder.decision.Logic;
-import dunlinladder.decision.Router;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingPolicy;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** Hosts the instances: reads batches of events, hands each to its own module, writes the actions. */
-public final class Host {
+public final class SimulatorHost {
 
     private final BufferedReader in;
     private final Writer out;
@@ -21,7 +21,7 @@
     private final StringBuilder reply = new StringBuilder();
 
     /** Creates a host on the wire's two streams. */
-    public Host(BufferedReader in, Writer out) {
+    public SimulatorHost(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
@@ -37,7 +37,7 @@
 
     private void serveBatch(Message head) throws IOException {
         if (!head.name.equals("Turn")) {
-            throw new BadInput("expected Turn, got " + head.name);
+            throw new InvalidInputException("expected Turn, got " + head.name);
         }
         double now = head.body.number("ts");
         long turn = head.body.integer("turn");
@@ -53,28 +53,28 @@
     private Message next() throws IOException {
         String line = in.readLine();
         if (line == null) {
-            throw new BadInput("the input ended inside a batch");
+            throw new InvalidInputException("the input ended inside a batch");
         }
         return message(line);
     }
 
     private static Message message(String line) {
-        Json json = Json.parse(line);
+        JsonObject json = JsonObject.parse(line);
         Iterator<String> names = json.fields().keySet().iterator();
         if (!names.hasNext()) {
-            throw new BadInput("a message without a name");
+            throw new InvalidInputException("a message without a name");
         }
         String name = names.next();
         if (names.hasNext()) {
-            throw new BadInput("a message with more than one name: " + name);
+            throw new InvalidInputException("a message with more than one name: " + name);
         }
-        return new Message(name, new Json(name, json.child(name).fields()));
+        return new Message(name, new JsonObject(name, json.child(name).fields()));
     }
 
     private void serve(double now, Message message) {
-        Json body = message.body;
+        JsonObject body = message.body;
         if (message.name.equals("Turn")) {
-            throw new BadInput("a Turn before the Commit of the last");
+            throw new InvalidInputException("a Turn before the Commit of the last");
         }
         long instance = switch (message.name) {
             case "OpenInstance",
@@ -88,13 +88,13 @@
                     "Reminder",
                     "CheckResult",
                     "NoteFrom" -> body.integer("i");
-            default -> throw new BadInput("unknown message " + message.name);
+            default -> throw new InvalidInputException("unknown message " + message.name);
         };
         switch (message.name) {
             case "OpenInstance" -> open(instance, body);
             case "Detach" -> instances.remove(instance);
             default -> {
-                Router.Event event = Wire.event(message.name, body);
+                Router.Event event = SimulatorCodec.event(message.name, body);
                 Router router = instances.get(instance);
                 if (event != null && router != null) {
                     decide(instance, router, now, event);
@@ -103,11 +103,11 @@
         }
     }
 
-    private void open(long instance, Json body) {
+    private void open(long instance, JsonObject body) {
         long seed = body.integer("salt");
         Router.Settings settings =
-                SettingsReader.read(new Json("info", body.child("info").fields()));
-        instances.put(instance, new Logic(settings, seed));
+                SettingsReader.read(new JsonObject("info", body.child("info").fields()));
+        instances.put(instance, new RoutingPolicy(settings, seed));
     }
 
     private void decide(long instance, Router router, double now, Router.Event event) {
@@ -116,13 +116,13 @@
             actions = router.handle(now, event);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            Wire.bailOut(reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            SimulatorCodec.bailOut(reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
         for (Router.Action action : actions) {
-            Wire.action(reply, instance, action);
+            SimulatorCodec.action(reply, instance, action);
         }
     }
 
-    private record Message(String name, Json body) {}
+    private record Message(String name, JsonObject body) {}
 }
--- a/src/test/java/dunlinladder/ArchitectureTest.java
+++ b/src/test/java/dunlinladder/ArchitectureTest.java
@@ -24,37 +24,37 @@
 
     @ParameterizedTest
     @CsvSource({
-        "core, wire",
-        "core, decision",
+        "core, transport",
+        "core, routing",
         "core, lifecycle",
         "core, membership",
-        "core, dialect",
-        "membership, wire",
-        "membership, decision",
+        "core, apiformat",
+        "membership, transport",
+        "membership, routing",
         "membership, lifecycle",
-        "membership, dialect",
-        "dialect, wire",
-        "dialect, core",
-        "dialect, decision",
-        "dialect, lifecycle",
-        "dialect, membership",
-        "decision, wire",
-        "decision, lifecycle",
-        "decision, dialect",
-        "decision, membership",
-        "wire.platform, decision",
-        "wire.chat, decision",
-        "wire.engine, decision",
-        "wire.discovery, decision",
-        "wire, lifecycle",
-        "generation, wire",
-        "generation, decision",
-        "generation, lifecycle",
-        "dialect, generation",
-        "core, generation",
-        "wire.engine, wire.chat",
-        "wire.engine, wire.platform",
-        "wire.discovery, wire.engine"
+        "membership, apiformat",
+        "apiformat, transport",
+        "apiformat, core",
+        "apiformat, routing",
+        "apiformat, lifecycle",
+        "apiformat, membership",
+        "routing, transport",
+        "routing, lifecycle",
+        "routing, apiformat",
+        "routing, membership",
+        "transport.platform, routing",
+        "transport.chat, routing",
+        "transport.engine, routing",
+        "transport.discovery, routing",
+        "transport, lifecycle",
+        "migration, transport",
+        "migration, routing",
+        "migration, lifecycle",
+        "apiformat, migration",
+        "core, migration",
+        "transport.engine, transport.chat",
+        "transport.engine, transport.platform",
+        "transport.discovery, transport.engine"
     })
     void packagesPointOneWay(String from, String to) {
         noClasses()
@@ -67,7 +67,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"core", "decision", "membership", "dialect", "generation"})
+    @CsvSource({"core", "routing", "membership", "apiformat", "migration"})
     void whatDecidesDoesNoInputOrOutput(String part) {
         noClasses()
                 .that()
@@ -82,7 +82,7 @@
     void theCoreKnowsNoWireFormat() {
         noClasses()
                 .that()
-                .resideInAnyPackage("dunlinladder.core..", "dunlinladder.decision..", "dunlinladder.membership..")
+                .resideInAnyPackage("dunlinladder.core..", "dunlinladder.routing..", "dunlinladder.membership..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("com.fasterxml.jackson..")
--- a/src/test/java/dunlinladder/dialect/RepliesTest.java
+++ b/src/test/java/dunlinladder/apiformat/RepliesTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dunlinladder.dialect.ReplyEvent.Reason;
+import dunlinladder.apiformat.ReplyEvent.Reason;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
@@ -28,18 +28,18 @@
 class RepliesTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ReplyWriter.Identity IDENTITY = new ReplyWriter.Identity("7", "shelf", 5, true, false, null);
+    private static final ReplyEncoder.Identity IDENTITY = new ReplyEncoder.Identity("7", "shelf", 5, true, false, null);
 
     private static byte[] recorded(String name) throws IOException {
-        try (InputStream in = RepliesTest.class.getResourceAsStream("/dialect/" + name)) {
+        try (InputStream in = RepliesTest.class.getResourceAsStream("/apiformat/" + name)) {
             assertNotNull(in, name);
             return in.readAllBytes();
         }
     }
 
     static Stream<Arguments> pairs() {
-        return Arrays.stream(Format.values())
-                .flatMap(from -> Arrays.stream(Format.values()).map(to -> Arguments.of(from, to)));
+        return Arrays.stream(ApiFormat.values())
+                .flatMap(from -> Arrays.stream(ApiFormat.values()).map(to -> Arguments.of(from, to)));
     }
 
     /** What an answer says, without how it was cut into pieces. */
@@ -67,16 +67,17 @@
         return said;
     }
 
-    private static List<ReplyEvent> read(Format format, byte[] stream) {
+    private static List<ReplyEvent> read(ApiFormat format, byte[] stream) {
         List<ReplyEvent> events = new ArrayList<>();
-        ReplyReader reader = ReplyReader.of(format);
-        new EventReader((name, data) -> events.addAll(reader.event(name, data))).read(ByteBuffer.wrap(stream));
+        ReplyDecoder reader = ReplyDecoder.of(format);
+        new ServerSentEventReader((name, data) -> events.addAll(reader.event(name, data)))
+                .read(ByteBuffer.wrap(stream));
         events.addAll(reader.end());
         return events;
     }
 
-    private static String translate(Format from, Format to, byte[] stream, int step) {
-        Translation translation = new Translation(from, to, IDENTITY, true);
+    private static String translate(ApiFormat from, ApiFormat to, byte[] stream, int step) {
+        ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
         StringBuilder out = new StringBuilder();
         for (int at = 0; at < stream.length; at += step) {
             translation.stream(ByteBuffer.wrap(stream, at, Math.min(step, stream.length - at)), out::append);
@@ -96,21 +97,21 @@
             "end");
 
     @ParameterizedTest
-    @EnumSource(Format.class)
-    void eachFormatsStreamIsUnderstood(Format format) throws IOException {
+    @EnumSource(ApiFormat.class)
+    void eachFormatsStreamIsUnderstood(ApiFormat format) throws IOException {
         assertEquals(TEXT, said(read(format, recorded("text-" + format.key() + ".sse"))));
     }
 
     @ParameterizedTest
-    @EnumSource(value = Format.class, names = "COMPLETIONS", mode = EnumSource.Mode.EXCLUDE)
-    void callsInPiecesAreUnderstood(Format format) throws IOException {
+    @EnumSource(value = ApiFormat.class, names = "COMPLETIONS", mode = EnumSource.Mode.EXCLUDE)
+    void callsInPiecesAreUnderstood(ApiFormat format) throws IOException {
         assertEquals(CALLS, said(read(format, recorded("calls-" + format.key() + ".sse"))));
     }
 
     /** Cut at every byte or not at all, the client gets the same, and it says what the engine said. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aStreamSaysTheSameInEachOtherFormat(Format from, Format to) throws IOException {
+    void aStreamSaysTheSameInEachOtherFormat(ApiFormat from, ApiFormat to) throws IOException {
         byte[] stream = recorded("text-" + from.key() + ".sse");
         String whole = translate(from, to, stream, stream.length);
         assertEquals(TEXT, said(read(to, whole.getBytes(StandardCharsets.UTF_8))));
@@ -121,8 +122,8 @@
 
     @ParameterizedTest
     @MethodSource("pairs")
-    void callsSayTheSameInEachOtherFormat(Format from, Format to) throws IOException {
-        if (from != Format.COMPLETIONS && to != Format.COMPLETIONS) {
+    void callsSayTheSameInEachOtherFormat(ApiFormat from, ApiFormat to) throws IOException {
+        if (from != ApiFormat.COMPLETIONS && to != ApiFormat.COMPLETIONS) {
             byte[] stream = recorded("calls-" + from.key() + ".sse");
             assertEquals(CALLS, said(read(to, translate(from, to, stream, 5).getBytes(StandardCharsets.UTF_8))));
         }
@@ -131,19 +132,19 @@
     /** A client that wants one answer gets what the stream says, put together. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aWholeAnswerSaysWhatTheStreamSaid(Format from, Format to) throws IOException {
-        Translation translation = new Translation(from, to, IDENTITY, false);
+    void aWholeAnswerSaysWhatTheStreamSaid(ApiFormat from, ApiFormat to) throws IOException {
+        ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, false);
         translation.stream(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> {});
         translation.end(text -> {});
         assertTrue(translation.whole());
         byte[] body = translation.answer().toString().getBytes(StandardCharsets.UTF_8);
-        assertEquals(TEXT, said(ReplyReader.of(to).whole(body)));
+        assertEquals(TEXT, said(ReplyDecoder.of(to).whole(body)));
     }
 
     /** A stream that ends after any of its events but the last has failed, and its client is told so. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aStreamThatBreaksOffNeverEndsWell(Format from, Format to) throws IOException {
+    void aStreamThatBreaksOffNeverEndsWell(ApiFormat from, ApiFormat to) throws IOException {
         String stream = new String(recorded("text-" + from.key() + ".sse"), StandardCharsets.UTF_8);
         String[] events = stream.split("(?<=\n\n)");
         int last = events.length;
@@ -152,12 +153,12 @@
         }
         for (int kept = 0; kept < last; kept++) {
             byte[] part = String.join("", Arrays.copyOf(events, kept)).getBytes(StandardCharsets.UTF_8);
-            Translation translation = new Translation(from, to, IDENTITY, true);
+            ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
             StringBuilder out = new StringBuilder();
             translation.stream(ByteBuffer.wrap(part), out::append);
             assertFalse(translation.whole(), "after " + kept);
             translation.end(out::append);
-            assertEquals(Fault.Kind.GARBLED, translation.fault().kind());
+            assertEquals(ApiError.Kind.GARBLED, translation.fault().kind());
             List<String> said = said(read(to, out.toString().getBytes(StandardCharsets.UTF_8)));
             assertTrue(said.get(said.size() - 1).startsWith("failed "), said.toString());
         }
@@ -166,10 +167,10 @@
     /** An error in the midst of a stream is told in the client's own form, and nothing follows it. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void anErrorInMidStreamIsTold(Format from, Format to) throws IOException {
+    void anErrorInMidStreamIsTold(ApiFormat from, ApiFormat to) throws IOException {
         String stream = new String(recorded("text-" + from.key() + ".sse"), StandardCharsets.UTF_8);
         String[] events = stream.split("(?<=\n\n)");
-        String error = from == Format.MESSAGES
+        String error = from == ApiFormat.MESSAGES
                 ? "event: error\ndata: {\"type\":\"error\",\"error\":{\"type\":\"overloaded_error\"}}\n\n"
                 : "data: {\"error\":{\"code\":\"server_error\",\"message\":\"secret host down\"}}\n\n";
         String broken = events[0] + events[1] + events[2] + error + events[3];
@@ -196,8 +197,8 @@
                         + "'incomplete_details':{'reason':'max_output_tokens'}}} | LENGTH",
                 "COMPLETIONS | {'choices':[{'index':0,'text':'a','finish_reason':'length'}]} | LENGTH"
             })
-    void eachEndHasItsRow(Format from, String event, Reason reason) {
-        List<ReplyEvent> events = ReplyReader.of(from).event(null, event.replace('\'', '"'));
+    void eachEndHasItsRow(ApiFormat from, String event, Reason reason) {
+        List<ReplyEvent> events = ReplyDecoder.of(from).event(null, event.replace('\'', '"'));
         assertEquals(
                 reason,
                 events.stream()
@@ -220,12 +221,12 @@
                 "404 | {'error':{'code':'model_not_found'}} | SERVER | false",
                 "0 | {'error':{'code':'content_filter'}} | FILTERED | true"
             })
-    void eachErrorHasItsRow(int status, String body, Fault.Kind kind, boolean mine) throws IOException {
+    void eachErrorHasItsRow(int status, String body, ApiError.Kind kind, boolean mine) throws IOException {
         JsonNode node = JSON.readTree(body.replace('\'', '"'));
-        assertEquals(kind, Faults.read(status, node).kind());
-        assertEquals(mine, Faults.ofTheRequest(status, node));
-        for (Format to : Format.values()) {
-            JsonNode told = Faults.write(to, Faults.read(status, node));
+        assertEquals(kind, ErrorTranslator.read(status, node).kind());
+        assertEquals(mine, ErrorTranslator.ofTheRequest(status, node));
+        for (ApiFormat to : ApiFormat.values()) {
+            JsonNode told = ErrorTranslator.write(to, ErrorTranslator.read(status, node));
             assertFalse(told.toString().contains("your key"));
             assertTrue(told.path("error").path("message").isTextual());
         }
@@ -233,18 +234,18 @@
 
     @Test
     void onlyWhatNeverRanIsRefused() {
-        assertEquals(Faults.Verdict.REFUSED, Faults.verdict(true, false));
-        assertEquals(Faults.Verdict.FAILED, Faults.verdict(true, true));
-        assertEquals(Faults.Verdict.FAILED, Faults.verdict(false, false));
-        assertTrue(Faults.knowsNot(404, null));
-        assertTrue(Faults.knowsNot(415, null));
-        assertFalse(Faults.knowsNot(500, null));
+        assertEquals(ErrorTranslator.Verdict.REFUSED, ErrorTranslator.verdict(true, false));
+        assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(true, true));
+        assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(false, false));
+        assertTrue(ErrorTranslator.knowsNot(404, null));
+        assertTrue(ErrorTranslator.knowsNot(415, null));
+        assertFalse(ErrorTranslator.knowsNot(500, null));
     }
 
     /** The client sees one id, model and time through the stream, whatever the engine calls itself. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void theAnswersIdentityIsTheGateways(Format from, Format to) throws IOException {
+    void theAnswersIdentityIsTheGateways(ApiFormat from, ApiFormat to) throws IOException {
         String out = translate(from, to, recorded("text-" + from.key() + ".sse"), 11);
         assertFalse(out.contains("engine-model") || out.contains("engine-id"), out);
         assertTrue(out.contains("shelf"));
@@ -252,8 +253,8 @@
 
     @Test
     void logprobsEchoAndOlderCallsKeepTheirForm() throws IOException {
-        ReplyWriter.Identity old = new ReplyWriter.Identity("7", "shelf", 5, false, true, "once ");
-        Translation text = new Translation(Format.CHAT, Format.COMPLETIONS, old, false);
+        ReplyEncoder.Identity old = new ReplyEncoder.Identity("7", "shelf", 5, false, true, "once ");
+        ReplyTranslator text = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.COMPLETIONS, old, false);
         text.stream(
                 ByteBuffer.wrap(("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"up\"},"
                                 + "\"logprobs\":{\"content\":[{\"token\":\"up\",\"logprob\":-1.5,"
@@ -266,7 +267,7 @@
         assertEquals(
                 "{\"tokens\":[\"up\"],\"token_logprobs\":[-1.5],\"top_logprobs\":[{\"on\":-2.0}]}",
                 choice.path("logprobs").toString());
-        Translation call = new Translation(Format.CHAT, Format.CHAT, old, false);
+        ReplyTranslator call = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.CHAT, old, false);
         call.stream(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> {});
         JsonNode message = call.answer().path("choices").path(0);
         assertEquals("function_call", message.path("finish_reason").asText());
--- a/src/test/java/dunlinladder/dialect/RequestsTest.java
+++ b/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,20 +19,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Requests from each format to each other, field by field. */
-class RequestsTest {
+class RequestTranslatorTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final List<String> warnings = new ArrayList<>();
 
     private static JsonNode json(String text) {
-        return Pieces.body(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+        return StrictJson.body(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    private JsonNode translate(String from, String to, String body, Requests.Unknown unknown) {
-        return Pieces.body(Requests.write(
-                        Format.of(to).orElseThrow(),
-                        Requests.read(Format.of(from).orElseThrow(), json(body), unknown, warnings),
+    private JsonNode translate(String from, String to, String body, RequestTranslator.Unknown unknown) {
+        return StrictJson.body(RequestTranslator.write(
+                        ApiFormat.of(to).orElseThrow(),
+                        RequestTranslator.read(ApiFormat.of(from).orElseThrow(), json(body), unknown, warnings),
                         800,
                         warnings)
                 .toString()
@@ -42,25 +42,26 @@
     /** The cases stand in a file: from, to, the client's body, what the engine gets. */
     @ParameterizedTest
     @CsvFileSource(
-            resources = "/dialect/requests.csv",
+            resources = "/apiformat/requests.csv",
             delimiter = '|',
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
     void aRequestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
-        assertEquals(json(expected), translate(from, to, body, Requests.Unknown.PASS));
+        assertEquals(json(expected), translate(from, to, body, RequestTranslator.Unknown.PASS));
     }
 
     @ParameterizedTest
     @CsvFileSource(
-            resources = "/dialect/refused.csv",
+            resources = "/apiformat/refused.csv",
             delimiter = '|',
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
     void whatCannotBeExpressedIsRefusedByName(String from, String to, String body, String field) {
-        Untranslatable error =
-                assertThrows(Untranslatable.class, () -> translate(from, to, body, Requests.Unknown.REFUSE));
+        UntranslatableRequestException error = assertThrows(
+                UntranslatableRequestException.class,
+                () -> translate(from, to, body, RequestTranslator.Unknown.REFUSE));
         assertEquals(field, error.field());
         assertTrue(error.getMessage().contains(field), error.getMessage());
     }
@@ -81,14 +82,14 @@
                         + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"
             })
     void whatIsLeftOutIsSaid(String from, String to, String body, String field) {
-        translate(from, to, body, Requests.Unknown.REFUSE);
+        translate(from, to, body, RequestTranslator.Unknown.REFUSE);
         assertEquals(1, warnings.size(), warnings.toString());
         assertTrue(warnings.get(0).startsWith(field), warnings.get(0));
     }
 
     @ParameterizedTest
     @CsvSource({"PASS, true, 0", "DROP, false, 1"})
-    void fieldsThatNoTableKnowsFollowTheOperator(Requests.Unknown unknown, boolean there, int warned) {
+    void fieldsThatNoTableKnowsFollowTheOperator(RequestTranslator.Unknown unknown, boolean there, int warned) {
         JsonNode body = translate(
                 "chat",
                 "responses",
@@ -100,11 +101,11 @@
 
     /** No field vanishes silently: each of a format's own fields is carried back to itself. */
     @ParameterizedTest
-    @EnumSource(Format.class)
-    void everyFieldOfAFormatComesBackAsItWas(Format format) throws IOException {
-        JsonNode body =
-                JSON.readTree(RequestsTest.class.getResourceAsStream("/dialect/full-" + format.key() + ".json"));
-        for (Fields.Field field : Fields.of(format)) {
+    @EnumSource(ApiFormat.class)
+    void everyFieldOfAFormatComesBackAsItWas(ApiFormat format) throws IOException {
+        JsonNode body = JSON.readTree(
+                RequestTranslatorTest.class.getResourceAsStream("/apiformat/full-" + format.key() + ".json"));
+        for (FieldTable.Field field : FieldTable.of(format)) {
             assertTrue(
                     field.alias()
                             || !body.at("/" + field.path().replace('.', '/')).isMissingNode(),
@@ -112,23 +113,27 @@
         }
         assertEquals(
                 body,
-                Requests.write(format, Requests.read(format, body, Requests.Unknown.REFUSE, warnings), 800, warnings));
+                RequestTranslator.write(
+                        format,
+                        RequestTranslator.read(format, body, RequestTranslator.Unknown.REFUSE, warnings),
+                        800,
+                        warnings));
         assertEquals(List.of(), warnings);
     }
 
     @Test
     void deepNestingAndTrailingTextAreMalformed() {
-        String deep = "{\"a\":" + "[".repeat(Pieces.DEPTH + 1) + "]".repeat(Pieces.DEPTH + 1) + "}";
-        assertThrows(Untranslatable.class, () -> json(deep));
-        assertThrows(Untranslatable.class, () -> json("{} {}"));
-        assertThrows(Untranslatable.class, () -> json("[]"));
-        assertThrows(Untranslatable.class, () -> json(""));
+        String deep = "{\"a\":" + "[".repeat(StrictJson.DEPTH + 1) + "]".repeat(StrictJson.DEPTH + 1) + "}";
+        assertThrows(UntranslatableRequestException.class, () -> json(deep));
+        assertThrows(UntranslatableRequestException.class, () -> json("{} {}"));
+        assertThrows(UntranslatableRequestException.class, () -> json("[]"));
+        assertThrows(UntranslatableRequestException.class, () -> json(""));
     }
 
     /** The pages of the docs are what the tables print; {@code make docs} writes them. */
     @Test
     void theDocsShowTheTables() throws IOException {
-        assertEquals(Files.readString(Path.of("docs/fields.md")), Table.markdown());
-        assertEquals(Files.readString(Path.of("docs/errors.md")), Faults.markdown());
+        assertEquals(Files.readString(Path.of("docs/fields.md")), TranslationTable.markdown());
+        assertEquals(Files.readString(Path.of("docs/errors.md")), ErrorTranslator.markdown());
     }
 }
--- a/src/test/java/dunlinladder/dialect/EventReaderTest.java
+++ b/src/test/java/dunlinladder/apiformat/ServerSentEventReaderTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.dialect;
+package dunlinladder.apiformat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Server-sent events, each case read whole and byte by byte. */
-class EventReaderTest {
+class ServerSentEventReaderTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -26,7 +26,7 @@
         byte[] bytes = stream.replace("\\n", "\n").replace("\\r", "\r").getBytes(StandardCharsets.UTF_8);
         for (int size : new int[] {bytes.length, 1, 3}) {
             List<String> events = new ArrayList<>();
-            EventReader reader = new EventReader((name, data) -> events.add(data));
+            ServerSentEventReader reader = new ServerSentEventReader((name, data) -> events.add(data));
             for (int at = 0; at < bytes.length; at += size) {
                 reader.read(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at)));
             }
--- a/src/test/java/dunlinladder/core/DispatcherTest.java
+++ b/src/test/java/dunlinladder/core/DispatcherTest.java
@@ -34,9 +34,9 @@
         }
     };
 
-    private final Engines engines = new Engines();
+    private final EngineRegistry engines = new EngineRegistry();
     private final Clock clock = new Clock();
-    private final Queue<Step> steps = new ArrayDeque<>();
+    private final Queue<RoutingDecision> steps = new ArrayDeque<>();
     private final Queue<Ending> endings = new ArrayDeque<>();
     private final List<String> sent = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
@@ -48,9 +48,9 @@
 
     private Dispatcher dispatcher;
 
-    private final Decider decider = new Decider() {
+    private final RequestRouter decider = new RequestRouter() {
         @Override
-        public Step pick(Request request) {
+        public RoutingDecision nextDecision(Request request) {
             decided.run();
             return steps.remove();
         }
@@ -61,24 +61,24 @@
         }
 
         @Override
-        public void ended(Attempt attempt, Outcome outcome, boolean last) {
+        public void attemptEnded(Attempt attempt, Outcome outcome, boolean last) {
             reported.add(outcome.ending());
         }
 
         @Override
-        public void gone(String id) {
+        public void clientDisconnected(String id) {
             answers.add("gone");
         }
 
         @Override
-        public void list(Scope scope, List<Engine> news) {
+        public void endpointsUpdated(Scope scope, List<Engine> news) {
             // Not asked for here.
         }
     };
 
-    private final EngineCalls calls = new EngineCalls() {
+    private final EngineTransport calls = new EngineTransport() {
         @Override
-        public Call send(Attempt attempt, Client client, Runnable first) {
+        public Call send(Attempt attempt, ResponseSink client, Runnable first) {
             sent.add(attempt.engine().id());
             meanwhile.run();
             return new Call() {
@@ -100,24 +100,24 @@
         }
     };
 
-    private final Client client = new Client() {
+    private final ResponseSink client = new ResponseSink() {
         @Override
-        public void data(ByteBuffer piece, IntConsumer taken) {
+        public void writeEvents(ByteBuffer piece, IntConsumer taken) {
             answers.add("data");
         }
 
         @Override
-        public void end() {
+        public void complete() {
             answers.add("end");
         }
 
         @Override
-        public void cut() {
+        public void abortStream() {
             answers.add("cut");
         }
 
         @Override
-        public void refuse(double retryAfter) {
+        public void reject(double retryAfter) {
             answers.add("refuse");
         }
 
@@ -133,14 +133,14 @@
 
     private void list(Engine.State state, String... ids) {
         engines.apply(
-                Decider.Scope.CHANGES,
+                RequestRouter.Scope.CHANGES,
                 Arrays.stream(ids).map(id -> engine(id, state)).toList());
     }
 
     private void take(int serviceClass) {
         Limits limits = new Limits(0, 0, 0, 0, 0, 0, 0, 10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0.04, 0, 0, 0, 0, 0);
         dispatcher = new Dispatcher(decider, engines, calls, Runnable::run, clock, limits, POLICY);
-        assertTrue(dispatcher.take(
+        assertTrue(dispatcher.submit(
                 new Request("id", serviceClass, 0, 1, 0, 10, 0, 10, clock.now() + 5, false, false, null), client));
     }
 
@@ -149,26 +149,26 @@
     @CsvSource({
         "1, r1 TIMEOUT, refuse",
         "1, r1 RESET, refuse",
-        "1, r1 READ w1 TIMEOUT, fail",
-        "1, r1 READ w1 RESET, fail",
-        "1, r1 READ w1 ERROR, fail",
-        "1, r1 READ w1 CANCELLED, fail",
-        "1, r1 READ w1 FULL, refuse",
-        "1, r1 READ w1 CONNECT_FAILED, refuse",
+        "1, r1 PREFILLED w1 TIMEOUT, fail",
+        "1, r1 PREFILLED w1 RESET, fail",
+        "1, r1 PREFILLED w1 ERROR, fail",
+        "1, r1 PREFILLED w1 CANCELLED, fail",
+        "1, r1 PREFILLED w1 FULL, refuse",
+        "1, r1 PREFILLED w1 CONNECT_FAILED, refuse",
         "1, m1 TIMEOUT, fail",
-        "1, m1 RESET r1 READ, fail",
+        "1, m1 RESET r1 PREFILLED, fail",
         "1, m1 FULL r1 TIMEOUT, refuse",
         "0, m1 TIMEOUT, refuse",
-        "0, r1 READ w1 RESET, refuse"
+        "0, r1 PREFILLED w1 RESET, refuse"
     })
     void aRefusalIsBorneOutByTheFacts(int serviceClass, String attempts, String answer) {
         list(Engine.State.ACTIVE, "r1", "w1", "m1");
         String[] words = attempts.split(" ");
         for (int i = 0; i < words.length; i += 2) {
-            steps.add(new Step.Send(words[i], 0));
+            steps.add(new RoutingDecision.Forward(words[i], 0));
             endings.add(Ending.valueOf(words[i + 1]));
         }
-        steps.add(new Step.Refuse(0));
+        steps.add(new RoutingDecision.Reject(0));
         take(serviceClass);
         assertEquals(List.of(answer), answers);
     }
@@ -185,10 +185,10 @@
     })
     void whatTheListSaysLaterChangesNothing(Ending ending, Engine.State state, String answer) {
         list(Engine.State.ACTIVE, "m1");
-        steps.addAll(List.of(new Step.Send("m1", 0), new Step.Refuse(0)));
+        steps.addAll(List.of(new RoutingDecision.Forward("m1", 0), new RoutingDecision.Reject(0)));
         endings.add(ending);
-        meanwhile = () ->
-                engines.apply(Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:1", 0, 0, 0, state, 1, 0)));
+        meanwhile = () -> engines.apply(
+                RequestRouter.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:1", 0, 0, 0, state, 1, 0)));
         take(LISTING);
         assertEquals(List.of(answer), answers);
     }
@@ -196,7 +196,10 @@
     @Test
     void aListingThatMayHaveRunIsNotSentAgainEvenWhereTheDecisionsWantIt() {
         list(Engine.State.ACTIVE, "m1", "w1", "r1");
-        steps.addAll(List.of(new Step.Send("m1", 0), new Step.Send("w1", 0), new Step.Refuse(0)));
+        steps.addAll(List.of(
+                new RoutingDecision.Forward("m1", 0),
+                new RoutingDecision.Forward("w1", 0),
+                new RoutingDecision.Reject(0)));
         endings.add(Ending.RESET);
         take(LISTING);
         assertEquals(List.of("m1"), sent);
@@ -209,24 +212,27 @@
     @CsvSource({"0, ''", "1, r1", "2, r1 w1"})
     void nothingIsSentForAClientThatHasGone(int after, String attempts) {
         list(Engine.State.ACTIVE, "r1", "w1", "m1");
-        steps.addAll(List.of(new Step.Send("r1", 0), new Step.Send("w1", 0), new Step.Send("m1", 0)));
-        endings.addAll(List.of(Ending.READ, Ending.FULL, Ending.OK));
+        steps.addAll(List.of(
+                new RoutingDecision.Forward("r1", 0),
+                new RoutingDecision.Forward("w1", 0),
+                new RoutingDecision.Forward("m1", 0)));
+        endings.addAll(List.of(Ending.PREFILLED, Ending.FULL, Ending.OK));
         decided = () -> {
             if (sent.size() == after) {
-                dispatcher.gone("id");
+                dispatcher.clientDisconnected("id");
             }
         };
         take(LOOKUP);
         assertEquals(attempts, String.join(" ", sent));
         assertEquals(List.of("gone"), answers);
         assertEquals(Ending.CONNECT_FAILED, reported.get(after), "it never went out");
-        assertEquals(0, dispatcher.active());
+        assertEquals(0, dispatcher.activeRequests());
     }
 
     @Test
     void whatAnEngineRejectsIsFinal() {
         list(Engine.State.ACTIVE, "m1");
-        steps.add(new Step.Send("m1", 0));
+        steps.add(new RoutingDecision.Forward("m1", 0));
         endings.add(Ending.REJECTED);
         take(LOOKUP);
         assertEquals(List.of("fail"), answers);
@@ -236,7 +242,7 @@
     @Test
     void aLookupMayBeSentAgain() {
         list(Engine.State.ACTIVE, "m1", "w1");
-        steps.addAll(List.of(new Step.Send("m1", 0), new Step.Send("w1", 0)));
+        steps.addAll(List.of(new RoutingDecision.Forward("m1", 0), new RoutingDecision.Forward("w1", 0)));
         endings.addAll(List.of(Ending.RESET, Ending.OK));
         take(LOOKUP);
         assertEquals(List.of("m1", "w1"), sent);
@@ -247,26 +253,27 @@
     void theGateShutsAtOnceAndWaitsForNewsThatIsNotRead() {
         list(Engine.State.ACTIVE, "m1");
         Engine decided = engines.find("m1");
-        Gate gate = new Gate(engines, clock, 60);
-        assertTrue(gate.open(decided));
+        SendGuard gate = new SendGuard(engines, clock, 60);
+        assertTrue(gate.allows(decided));
         // News is there and unread: the second look finds it read, and the engine drains in it.
         AtomicBoolean unread = new AtomicBoolean(true);
-        gate.watch(() -> {
+        gate.setUnreadUpdateCheck(() -> {
             boolean was = unread.getAndSet(false);
             if (!was) {
                 list(Engine.State.LEAVING, "m1");
             }
             return was;
         });
-        assertFalse(gate.open(decided));
+        assertFalse(gate.allows(decided));
         // News that never gets read does not hold a send for good.
-        Gate hurried = new Gate(engines, clock, 0.001);
-        hurried.watch(() -> true);
+        SendGuard hurried = new SendGuard(engines, clock, 0.001);
+        hurried.setUnreadUpdateCheck(() -> true);
         list(Engine.State.ACTIVE, "m1");
-        assertTrue(hurried.open(decided));
+        assertTrue(hurried.allows(decided));
         // An engine that is listed elsewhere now is another process.
         engines.apply(
-                Decider.Scope.CHANGES, List.of(new Engine("m1", "127.0.0.1:2", 0, 2, 0, Engine.State.ACTIVE, 1, 0)));
-        assertFalse(hurried.open(decided));
+                RequestRouter.Scope.CHANGES,
+                List.of(new Engine("m1", "127.0.0.1:2", 0, 2, 0, Engine.State.ACTIVE, 1, 0)));
+        assertFalse(hurried.allows(decided));
     }
 }
--- a/src/test/java/dunlinladder/core/EnginesTest.java
+++ b/src/test/java/dunlinladder/core/EngineRegistryTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The list of a large fleet whose engines come and go. */
-class EnginesTest {
+class EngineRegistryTest {
 
-    private final Engines engines = new Engines();
+    private final EngineRegistry engines = new EngineRegistry();
 
     private static Engine engine(String id, String address, Engine.State state) {
         return new Engine(id, address, 0, 0, 0, state, 1, 0);
@@ -20,12 +20,12 @@
 
     @Test
     void idsThatComeAndGoWithinOneChangeEndAsItsLastEntrySays() {
-        engines.apply(Decider.Scope.COMPLETE, List.of(engine("x", "10.0.0.1:80", Engine.State.ACTIVE)));
+        engines.apply(RequestRouter.Scope.COMPLETE, List.of(engine("x", "10.0.0.1:80", Engine.State.ACTIVE)));
         Engine before = engines.find("x");
         Engine back = engine("x", "10.0.0.2:80", Engine.State.ACTIVE);
         Engine brief = engine("y", "10.0.0.3:80", Engine.State.ACTIVE);
         engines.apply(
-                Decider.Scope.CHANGES,
+                RequestRouter.Scope.CHANGES,
                 List.of(
                         engine("x", "10.0.0.1:80", Engine.State.LEFT),
                         back,
@@ -45,7 +45,7 @@
         for (int i = 0; i < 60; i++) {
             live.add(engine("e" + i, "10.0.1." + i + ":80", Engine.State.ACTIVE));
         }
-        engines.apply(Decider.Scope.COMPLETE, live);
+        engines.apply(RequestRouter.Scope.COMPLETE, live);
         for (int round = 0; round < 50; round++) {
             List<Engine> change = new ArrayList<>();
             for (int i = 0; i < 36; i++) {
@@ -54,11 +54,11 @@
                 live.set(i, engine("e" + round + "-" + i, "10.0.2." + i + ":80", Engine.State.ACTIVE));
                 change.add(live.get(i));
             }
-            engines.apply(Decider.Scope.CHANGES, change);
+            engines.apply(RequestRouter.Scope.CHANGES, change);
             assertEquals(60, engines.size());
         }
         assertTrue(live.stream().allMatch(engines::accepts));
-        engines.apply(Decider.Scope.COMPLETE, live.subList(0, 3));
+        engines.apply(RequestRouter.Scope.COMPLETE, live.subList(0, 3));
         assertEquals(3, engines.size());
     }
 }
--- a/src/test/java/dunlinladder/it/CrossingsTest.java
+++ b/src/test/java/dunlinladder/it/CrossingsTest.java
@@ -206,7 +206,7 @@
                 running.writers.forEach(w -> w.eventsSeen = number);
             }
             // The end of the chunk that was read byte by byte.
-            assertEquals("", StandIn.Wire.line(browser.socket.getInputStream()));
+            assertEquals("", StandIn.SimulatorCodec.line(browser.socket.getInputStream()));
             assertTrue(browser.body().endsWith("[DONE]\n\n"));
         }
     }
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -414,7 +414,7 @@
         assertEquals(503, waiting.status);
         assertEquals("close", waiting.headers.get("Connection"));
         waiting.body();
-        assertNull(StandIn.Wire.line(waiting.socket.getInputStream()));
+        assertNull(StandIn.SimulatorCodec.line(waiting.socket.getInputStream()));
         streaming.close();
         assertEquals(0, running.process.waitFor());
     }
--- a/src/test/java/dunlinladder/it/StandIn.java
+++ b/src/test/java/dunlinladder/it/StandIn.java
@@ -98,8 +98,8 @@
             InputStream in = socket.getInputStream();
             OutputStream out = socket.getOutputStream();
             boolean fresh = true;
-            for (String first = Wire.line(in); first != null; first = Wire.line(in)) {
-                Map<String, String> headers = Wire.headers(in);
+            for (String first = SimulatorCodec.line(in); first != null; first = SimulatorCodec.line(in)) {
+                Map<String, String> headers = SimulatorCodec.headers(in);
                 String body = new String(
                         in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))),
                         StandardCharsets.UTF_8);
@@ -227,7 +227,7 @@
      */
     private static boolean typedEvents(OutputStream out, String body) throws IOException {
         String recorded;
-        try (InputStream file = StandIn.class.getResourceAsStream("/dialect/text-responses.sse")) {
+        try (InputStream file = StandIn.class.getResourceAsStream("/apiformat/text-responses.sse")) {
             recorded = new String(file.readAllBytes(), StandardCharsets.UTF_8);
         }
         send(out, STREAM);
@@ -312,8 +312,8 @@
     }
 
     /** Reading HTTP by hand, so that a test sees every byte. */
-    static final class Wire {
-        private Wire() {}
+    static final class SimulatorCodec {
+        private SimulatorCodec() {}
 
         static String line(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
@@ -362,12 +362,12 @@
 
         /** Reads the head; false when the connection ended first. */
         boolean head() throws IOException {
-            String line = Wire.line(socket.getInputStream());
+            String line = SimulatorCodec.line(socket.getInputStream());
             if (line == null) {
                 return false;
             }
             status = Integer.parseInt(line.split(" ")[1]);
-            headers = Wire.headers(socket.getInputStream());
+            headers = SimulatorCodec.headers(socket.getInputStream());
             return true;
         }
 
@@ -379,9 +379,9 @@
                         in.readNBytes(Integer.parseInt(headers.get("content-length"))), StandardCharsets.UTF_8);
             }
             StringBuilder body = new StringBuilder();
-            for (String size = Wire.line(in); size != null; size = Wire.line(in)) {
+            for (String size = SimulatorCodec.line(in); size != null; size = SimulatorCodec.line(in)) {
                 body.append(new String(in.readNBytes(Integer.parseInt(size, 16)), StandardCharsets.UTF_8));
-                Wire.line(in);
+                SimulatorCodec.line(in);
                 if (size.equals("0")) {
                     return body.toString();
                 }
--- a/src/test/java/dunlinladder/lifecycle/ConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
-import dunlinladder.wire.discovery.HostReader;
-import dunlinladder.wire.sim.SettingsReader;
+import dunlinladder.transport.discovery.EndpointListReader;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.simulator.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The gateway's configuration: what is wrong is named, what is right serves whatever its names are. */
-class ConfigTest {
+class GatewayConfigTest {
 
     private static final String FILE = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7f","limits":{"memory_mb":160,
@@ -46,25 +46,25 @@
     @TempDir
     private Path folder;
 
-    private Config read(String text) throws IOException {
+    private GatewayConfig read(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), text);
-        return Config.read(Map.of("RELAY_CONFIG", file.toString()));
+        return GatewayConfig.read(Map.of("RELAY_CONFIG", file.toString()));
     }
 
     @Test
     void whatIsAbsentGetsADefaultAndWhatIsNotKnownIsLeftAside() throws IOException {
-        Config config = read(FILE.replace("\"balancers\"", "\"later\":{\"x\":1},\"balancers\""));
+        GatewayConfig config = read(FILE.replace("\"balancers\"", "\"later\":{\"x\":1},\"balancers\""));
         assertEquals(List.of(4.0, 10.0), config.deadlines());
         assertEquals(1, config.limits().retryAfterSeconds());
-        Config unzoned = read(FILE.replace("[\"a\",\"b\"]", "[]").replace("\"zone\":1", "\"zone\":0"));
+        GatewayConfig unzoned = read(FILE.replace("[\"a\",\"b\"]", "[]").replace("\"zone\":1", "\"zone\":0"));
         assertEquals(
                 0,
-                new HostReader(unzoned.zones(), unzoned.kinds())
+                new EndpointListReader(unzoned.zones(), unzoned.kinds())
                         .read(unzoned.known(), true)
                         .engines()
                         .get(0)
                         .zone());
-        Json settings = Json.parse(
+        JsonObject settings = JsonObject.parse(
                         FILE.replace("\"seed\"", "\"later\":1,\"seed\"")
                                 .replace("\"cold-from\"", "\"warm\":1,\"cold-from\"")
                                 .replace("\"objective\":1", "\"objective\":1,\"odd\":2"),
@@ -83,12 +83,12 @@
                 .replace("\"x\"", "\"y y\"")
                 .replace("\"name\":\"y\"", "\"name\":\"x\"")
                 .replace("\"t\"", "\"a\"");
-        Config first = read(FILE);
-        Config second = read(renamed);
+        GatewayConfig first = read(FILE);
+        GatewayConfig second = read(renamed);
         assertEquals(first.settings(), second.settings());
         assertEquals(
-                new HostReader(first.zones(), first.kinds()).read(first.known(), true),
-                new HostReader(second.zones(), second.kinds()).read(second.known(), true));
+                new EndpointListReader(first.zones(), first.kinds()).read(first.known(), true),
+                new EndpointListReader(second.zones(), second.kinds()).read(second.known(), true));
         assertEquals(List.of("y y", "x"), second.classes());
     }
 
@@ -145,7 +145,7 @@
     void whatIsWrongIsNamed(String part, String instead, String named) throws IOException {
         assertTrue(FILE.contains(part), part);
         String text = FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead == null ? "" : instead));
-        BadInput error = assertThrows(BadInput.class, () -> new Gateway(read(text), null));
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> new Gateway(read(text), null));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
@@ -169,7 +169,7 @@
     }
 
     private static String list(List<String> names) {
-        return names.stream().map(ConfigTest::quoted).toList().toString();
+        return names.stream().map(GatewayConfigTest::quoted).toList().toString();
     }
 
     /** Whatever the names and however many, a gateway starts from the settings and says that it is up. */
@@ -197,7 +197,7 @@
                         .map(name -> "{\"name\":" + quoted(name) + "}")
                         .toList()
                 + ",\"family-info\":{\"role-by-kind\":" + roles + "}}}";
-        Config config = Config.read(Json.parse(text), Map.of());
+        GatewayConfig config = GatewayConfig.read(JsonObject.parse(text), Map.of());
         assertEquals(classes, config.classes());
         assertEquals(tenants, config.tenants());
         Gateway gateway = new Gateway(config, null);
--- a/src/test/java/dunlinladder/lifecycle/GenerationsTest.java
+++ b/src/test/java/dunlinladder/lifecycle/MigrationConfigReaderTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.dialect.Format;
-import dunlinladder.generation.Generation;
-import dunlinladder.generation.Move;
-import dunlinladder.wire.BadInput;
+import dunlinladder.apiformat.ApiFormat;
+import dunlinladder.migration.Generation;
+import dunlinladder.migration.MigrationPlan;
+import dunlinladder.transport.json.InvalidInputException;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operator's file on generations and moves. */
-class GenerationsTest {
+class MigrationConfigReaderTest {
 
     private static final String GOOD = """
             listen = "127.0.0.1:0"
@@ -53,32 +53,32 @@
 
     @Test
     void aGoodFileIsReadInFull() {
-        Map<String, String> flat = Operator.read(GOOD);
-        List<Generation> generations = Generations.read(flat, List.of("prompt", "answer"), List.of("a", "b"));
+        Map<String, String> flat = ChatConfigReader.read(GOOD);
+        List<Generation> generations = MigrationConfigReader.read(flat, List.of("prompt", "answer"), List.of("a", "b"));
         assertEquals(
                 List.of("old", "new"),
                 generations.stream().map(Generation::name).toList());
-        assertEquals(Format.RESPONSES, generations.get(1).format());
+        assertEquals(ApiFormat.RESPONSES, generations.get(1).format());
         assertEquals(Set.of(0, 1), generations.get(1).kinds());
         assertEquals(Set.of(1), generations.get(1).zones());
         assertEquals("box-.*", generations.get(1).ids().pattern());
         assertEquals(
-                new Move(
+                new MigrationPlan(
                         "old",
                         "new",
-                        List.of(new Move.Stage(0.1, 0.5, 30), new Move.Stage(1, 1, 60)),
-                        new Move.Stop(0.1, 0.05, 2, 50, false),
+                        List.of(new MigrationPlan.Stage(0.1, 0.5, 30), new MigrationPlan.Stage(1, 1, 60)),
+                        new MigrationPlan.Stop(0.1, 0.05, 2, 50, false),
                         5),
-                Generations.move(flat, generations));
+                MigrationConfigReader.move(flat, generations));
     }
 
     @Test
     void withoutGenerationsAllEnginesSpeakChat() {
-        List<Generation> generations = Generations.read(Map.of(), List.of(), List.of());
+        List<Generation> generations = MigrationConfigReader.read(Map.of(), List.of(), List.of());
         assertEquals(
-                List.of(Format.CHAT),
+                List.of(ApiFormat.CHAT),
                 generations.stream().map(Generation::format).toList());
-        assertNull(Generations.move(Map.of(), generations));
+        assertNull(MigrationConfigReader.move(Map.of(), generations));
     }
 
     /** Each fault names its key; the first part of the file that fits is changed. */
@@ -107,18 +107,18 @@
             })
     void faultsAreNamed(String part, String instead, String named) {
         assertTrue(GOOD.contains(part), part);
-        BadInput error = assertThrows(
-                BadInput.class,
-                () -> Operator.read(GOOD.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead))));
+        InvalidInputException error = assertThrows(
+                InvalidInputException.class,
+                () -> ChatConfigReader.read(GOOD.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead))));
         assertTrue(error.getMessage().contains(named), error.getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"generations.new.kinds, [reader], reader", "generations.new.halls, [moon], moon"})
     void namesAreCheckedAgainstTheDeployment(String key, String value, String named) {
-        BadInput error = assertThrows(
-                BadInput.class,
-                () -> Generations.read(
+        InvalidInputException error = assertThrows(
+                InvalidInputException.class,
+                () -> MigrationConfigReader.read(
                         Map.of("generations.new.format", "chat", key, value), List.of("prompt"), List.of("a")));
         assertTrue(error.getMessage().contains(key) && error.getMessage().contains(named), error.getMessage());
     }
--- a/src/test/java/dunlinladder/lifecycle/PlansTest.java
+++ b/src/test/java/dunlinladder/lifecycle/PlanCommandsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.Json;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operator's commands and both configurations' messages. */
-class PlansTest {
+class PlanCommandsTest {
 
     private static final String FILE = """
             listen = "127.0.0.1:8090"
@@ -34,28 +34,28 @@
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
     private Path state;
     private Path file;
-    private Plans plans;
+    private PlanCommands plans;
 
     @BeforeEach
     void write() throws Exception {
         state = folder.resolve("applied.json");
         file = Files.writeString(folder.resolve("chat.toml"), FILE);
-        plans = new Plans(state, Map.of(), new PrintStream(printed));
+        plans = new PlanCommands(state, Map.of(), new PrintStream(printed));
     }
 
     @Test
     void planShowsAndApplyDoesJustThatOnce() throws Exception {
-        assertEquals(Plans.CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.CHANGES, plans.plan(file, null));
         assertTrue(printed.toString().contains("+ models.find.class = lookup"));
         assertTrue(Files.notExists(state));
         plans.apply(file);
-        assertEquals(Plans.NO_CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.NO_CHANGES, plans.plan(file, null));
         byte[] applied = Files.readAllBytes(state);
         plans.apply(file);
         assertArrayEquals(applied, Files.readAllBytes(state));
         Files.writeString(file, FILE.replace("300", "400").replace("CHAT_KEY", "NEW_KEY"));
         printed.reset();
-        assertEquals(Plans.CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.CHANGES, plans.plan(file, null));
         assertEquals(
                 "- keys.CHAT_KEY.tenant = acme\n+ keys.NEW_KEY.tenant = acme\n"
                         + "~ models.find.max_tokens = 300 -> 400\n3 changes.\n",
@@ -70,10 +70,10 @@
         Files.writeString(file, FILE.replace("300", "400"));
         plans.plan(file, second.toString());
         plans.apply(second);
-        assertTrue(assertThrows(BadInput.class, () -> plans.apply(first))
+        assertTrue(assertThrows(InvalidInputException.class, () -> plans.apply(first))
                 .getMessage()
                 .contains("stale"));
-        assertEquals("400", Plans.applied(state).settings().get("models.find.max_tokens"));
+        assertEquals("400", PlanCommands.applied(state).settings().get("models.find.max_tokens"));
     }
 
     @ParameterizedTest
@@ -91,7 +91,7 @@
             })
     void faultsInTheFileNameTheirKey(String part, String instead, String named) throws Exception {
         Files.writeString(file, FILE.replace(part, instead));
-        BadInput error = assertThrows(BadInput.class, () -> plans.apply(file));
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> plans.apply(file));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertTrue(Files.notExists(state));
     }
@@ -117,11 +117,12 @@
                         + "['p'],"
                         + "'caps':{'keepalive':30},'family-info':{'role-by-kind':['both']}}}")
                 .replace(part, instead);
-        Json json = Json.parse(text.replace('\'', '"'));
+        JsonObject json = JsonObject.parse(text.replace('\'', '"'));
         if (named.isEmpty()) {
-            assertEquals(10, Config.read(json, Map.of()).limits().idleSeconds());
+            assertEquals(10, GatewayConfig.read(json, Map.of()).limits().idleSeconds());
         } else {
-            BadInput error = assertThrows(BadInput.class, () -> Config.read(json, Map.of()));
+            InvalidInputException error =
+                    assertThrows(InvalidInputException.class, () -> GatewayConfig.read(json, Map.of()));
             assertTrue(error.getMessage().contains(named), error.getMessage());
         }
     }
--- a/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
+++ b/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
@@ -63,7 +63,7 @@
                 folder.resolve("config.json"),
                 "{\"name\":\"n\",\"listen\":"
                         + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":160},"
-                        + "\"settings\":" + Sample.SETTINGS + "}");
+                        + "\"settings\":" + DemoConfiguration.SETTINGS + "}");
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "deploy/run.sh").redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", config.toString());
         builder.environment().put("PATH", folder.toString());
--- a/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
+++ b/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.core.Decider;
-import dunlinladder.membership.Following.Command;
-import dunlinladder.membership.Following.Event;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.membership.WatchStateMachine.Command;
+import dunlinladder.membership.WatchStateMachine.Event;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
@@ -29,12 +29,12 @@
     /** Of the rule's time a quarter is left for the same. */
     private static final double PUSHED_SHARE = 0.75;
 
-    private static final News CHANGE = new News(42, Decider.Scope.CHANGES, List.of());
+    private static final EndpointUpdate CHANGE = new EndpointUpdate(42, RequestRouter.Scope.CHANGES, List.of());
 
     private record Due(double at, long number, Event event) {}
 
     private Random random;
-    private Following state;
+    private WatchStateMachine state;
     private double now;
     private long number;
     private PriorityQueue<Due> queue;
@@ -49,7 +49,7 @@
     }
 
     private void on(Event event) {
-        Following.Next next = state.on(event, now);
+        WatchStateMachine.Next next = state.on(event, now);
         state = next.state();
         for (Command command : next.commands()) {
             if (command instanceof Command.Open open) {
@@ -112,8 +112,8 @@
     void aChangeIsTakenInWithinTheBound(
             @ForAll long seed, @ForAll boolean pushed, @ForAll @DoubleRange(min = 0.3, max = 2) double stop) {
         random = new Random(seed);
-        Timing timing = Timing.of(pushed, stop);
-        state = Following.from(timing, 41, seed);
+        WatchTimeouts timing = WatchTimeouts.of(pushed, stop);
+        state = WatchStateMachine.from(timing, 41, seed);
         now = 0;
         queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
         live = new HashSet<>();
@@ -130,7 +130,7 @@
         now = changedAt;
         boolean watched = false;
         boolean waits = false;
-        for (Following.Link link : state.links()) {
+        for (WatchStateMachine.Link link : state.links()) {
             watched |= link.answered();
             waits |= !link.answered() && !link.overdue();
             if (live.contains(link.id()) && link.answered()) {
