--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinladder.core.Decider;
-import dunlinladder.membership.Following.Command;
-import dunlinladder.membership.Following.Event;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.membership.WatchStateMachine.Command;
+import dunlinladder.membership.WatchStateMachine.Event;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -36,7 +36,7 @@
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private Random random;
-    private Following state;
+    private WatchStateMachine state;
     private double now;
     private long number;
     private long version;
@@ -62,14 +62,14 @@
         return commands + ":" + sha256(trace.toString());
     }
 
-    private static Timing timing(String name) {
+    private static WatchTimeouts timing(String name) {
         return switch (name) {
-            case "asked" -> Timing.of(false, 0.5);
-            case "pushed" -> Timing.of(true, 0.5);
-            case "hurried" -> Timing.of(true, 0.05);
-            case "slack" -> Timing.of(true, 3);
-            case "patient" -> new Timing(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
-            default -> new Timing(0.2, 1, 1, 0.4, 1.5, 0, 0.1, 0.8, 3, 2, true);
+            case "asked" -> WatchTimeouts.of(false, 0.5);
+            case "pushed" -> WatchTimeouts.of(true, 0.5);
+            case "hurried" -> WatchTimeouts.of(true, 0.05);
+            case "slack" -> WatchTimeouts.of(true, 3);
+            case "patient" -> new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
+            default -> new WatchTimeouts(0.2, 1, 1, 0.4, 1.5, 0, 0.1, 0.8, 3, 2, true);
         };
     }
 
@@ -81,7 +81,7 @@
             return "close|" + close.link();
         }
         Command.Take take = (Command.Take) command;
-        return "take|" + take.news().version() + "|" + take.news().whole() + "|" + take.before();
+        return "take|" + take.news().version() + "|" + take.news().isSnapshot() + "|" + take.before();
     }
 
     /** The canonical text of a step: when it is over, and when the next one is wanted. */
@@ -101,9 +101,9 @@
         }
     }
 
-    private void play(Timing timing, long seed) {
+    private void play(WatchTimeouts timing, long seed) {
         random = new Random(seed);
-        state = Following.from(timing, seed == 1 ? 0 : 41, seed);
+        state = WatchStateMachine.from(timing, seed == 1 ? 0 : 41, seed);
         version = 41;
         now = 0;
         queue.clear();
@@ -129,7 +129,7 @@
     }
 
     private void on(Event event) {
-        Following.Next next = state.on(event, now);
+        WatchStateMachine.Next next = state.on(event, now);
         state = next.state();
         List<Event> after = new ArrayList<>();
         for (Command command : next.commands()) {
@@ -184,14 +184,15 @@
     }
 
     /** News of what is now, of what was, or of a discovery that counts anew. */
-    private News news(boolean whole) {
+    private EndpointUpdate news(boolean whole) {
         if (chance(0.01)) {
             version = 1 + random.nextInt(5);
         }
         version += random.nextInt(3);
         long told = chance(0.1) ? Math.max(1, version - random.nextInt(4)) : version;
-        Decider.Scope scope =
-                !whole ? Decider.Scope.CHANGES : chance(0.2) ? Decider.Scope.CACHED : Decider.Scope.COMPLETE;
-        return new News(told, scope, List.of());
+        RequestRouter.Scope scope = !whole
+                ? RequestRouter.Scope.CHANGES
+                : chance(0.2) ? RequestRouter.Scope.CACHED : RequestRouter.Scope.COMPLETE;
+        return new EndpointUpdate(told, scope, List.of());
     }
 }
--- a/src/test/java/dunlinladder/membership/FollowingTest.java
+++ b/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
-import dunlinladder.membership.Following.Command;
-import dunlinladder.membership.Following.Event;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.membership.WatchStateMachine.Command;
+import dunlinladder.membership.WatchStateMachine.Event;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The state machine that follows the list, step by step and against a discovery that does anything. */
-class FollowingTest {
+class WatchStateMachineTest {
 
-    private static final Timing TIMING = new Timing(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
+    private static final WatchTimeouts TIMING = new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
 
     private final List<Command> done = new ArrayList<>();
-    private Following state = Following.from(TIMING, 41, 7);
+    private WatchStateMachine state = WatchStateMachine.from(TIMING, 41, 7);
     private double now;
 
     private void on(Event event) {
-        Following.Next next = state.on(event, now);
+        WatchStateMachine.Next next = state.on(event, now);
         state = next.state();
         done.addAll(next.commands());
     }
@@ -46,16 +46,16 @@
         return done.stream().filter(c -> c instanceof Command.Take).toList();
     }
 
-    private static News changes(long version, String... engines) {
-        return news(version, Decider.Scope.CHANGES, engines);
+    private static EndpointUpdate changes(long version, String... engines) {
+        return news(version, RequestRouter.Scope.CHANGES, engines);
     }
 
-    private static News whole(long version, String... engines) {
-        return news(version, Decider.Scope.COMPLETE, engines);
+    private static EndpointUpdate whole(long version, String... engines) {
+        return news(version, RequestRouter.Scope.COMPLETE, engines);
     }
 
-    private static News news(long version, Decider.Scope scope, String... engines) {
-        return new News(
+    private static EndpointUpdate news(long version, RequestRouter.Scope scope, String... engines) {
+        return new EndpointUpdate(
                 version,
                 scope,
                 List.of(engines).stream()
@@ -76,7 +76,7 @@
         on(new Event.Beat(0));
         on(new Event.Move("b:1"));
         assertDone(new Command.Open(1, "b:1", 41));
-        News drain = changes(42, "x=LEAVING");
+        EndpointUpdate drain = changes(42, "x=LEAVING");
         on(new Event.Told(0, drain));
         assertDone(new Command.Take(drain, 41));
         // The new link asked before that news: it tells it again, and then is the only one.
@@ -145,7 +145,7 @@
         pass(0.1);
         assertDone(new Command.Close(0), new Command.Open(1, "a:1", 0));
         on(new Event.Answered(1));
-        News all = whole(4, "x=ACTIVE");
+        EndpointUpdate all = whole(4, "x=ACTIVE");
         on(new Event.Told(1, all));
         assertDone(new Command.Take(all, 41));
         on(new Event.Told(1, changes(5, "x=LEAVING")));
@@ -161,7 +161,7 @@
         assertDone(new Command.Close(0));
         pass(0.45);
         assertDone(new Command.Open(1, "a:1", 0));
-        News all = whole(41, "x=LEAVING");
+        EndpointUpdate all = whole(41, "x=LEAVING");
         on(new Event.Told(1, all));
         assertDone(new Command.Take(all, 41));
         on(new Event.Ended(1));
@@ -204,7 +204,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void aSilentWatchIsReplacedInTimeThoughACallIsLostToo(long seed) {
-        state = Following.from(TIMING, 41, seed);
+        state = WatchStateMachine.from(TIMING, 41, seed);
         on(new Event.Move("a:1"));
         on(new Event.Connected(0));
         on(new Event.Answered(0));
@@ -225,7 +225,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void anOutageFindsACallThatWaitsAtItsEnd(long seed) {
-        state = Following.from(TIMING, 41, seed);
+        state = WatchStateMachine.from(TIMING, 41, seed);
         on(new Event.Move("a:1"));
         while (now < 60) {
             state.links().stream().filter(link -> !link.up()).forEach(link -> on(new Event.Connected(link.id())));
@@ -242,7 +242,8 @@
         assertEquals(1, taken().size());
         pass(1);
         assertEquals(
-                List.of(waited), state.links().stream().map(Following.Link::id).toList());
+                List.of(waited),
+                state.links().stream().map(WatchStateMachine.Link::id).toList());
     }
 
     @Test
@@ -290,10 +291,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void gatewaysThatStartTogetherAllGetTheListFromAnOverbookedDiscovery(long seed) {
-        List<Following> fleet = new ArrayList<>();
+        List<WatchStateMachine> fleet = new ArrayList<>();
         List<double[]> queue = new ArrayList<>();
         for (int g = 0; g < 14; g++) {
-            fleet.add(Following.from(TIMING, 41, seed * 1_000_003 + g * 7919));
+            fleet.add(WatchStateMachine.from(TIMING, 41, seed * 1_000_003 + g * 7919));
             overbooked(fleet, queue, g, new Event.Move("a:1"), 0);
         }
         double free = 0;
@@ -314,18 +315,18 @@
                 overbooked(fleet, queue, (int) call[0], new Event.Beat((int) call[1]), at);
             }
             for (int g = 0; g < fleet.size(); g++) {
-                for (Following.Link link : fleet.get(g).links()) {
+                for (WatchStateMachine.Link link : fleet.get(g).links()) {
                     if (link.answered()) {
                         overbooked(fleet, queue, g, new Event.Beat(link.id()), at);
                     }
                 }
             }
         }
-        assertTrue(fleet.stream().allMatch(f -> f.links().stream().anyMatch(Following.Link::answered)));
+        assertTrue(fleet.stream().allMatch(f -> f.links().stream().anyMatch(WatchStateMachine.Link::answered)));
     }
 
-    private static void overbooked(List<Following> fleet, List<double[]> queue, int g, Event event, double at) {
-        Following.Next next = fleet.get(g).on(event, at);
+    private static void overbooked(List<WatchStateMachine> fleet, List<double[]> queue, int g, Event event, double at) {
+        WatchStateMachine.Next next = fleet.get(g).on(event, at);
         fleet.set(g, next.state());
         for (Command command : next.commands()) {
             if (command instanceof Command.Open open) {
@@ -350,7 +351,8 @@
         on(new Event.Move("a:0"));
         for (int i = 0; i < 3000; i++) {
             int drawn = random.nextInt(100);
-            List<Integer> links = state.links().stream().map(Following.Link::id).toList();
+            List<Integer> links =
+                    state.links().stream().map(WatchStateMachine.Link::id).toList();
             int link = links.isEmpty() ? 99_999 : links.get(random.nextInt(links.size()));
             if (drawn < 25) {
                 latest++;
@@ -382,7 +384,7 @@
                     told.remove(close.link());
                 } else if (command instanceof Command.Take take) {
                     assertTrue(take.news().version() > held
-                            || take.news().whole() && take.news().version() == held);
+                            || take.news().isSnapshot() && take.news().version() == held);
                     assertEquals(held, take.before());
                     held = take.news().version();
                 }
@@ -396,7 +398,7 @@
         // From here on whatever link is opened answers and tells all that it has.
         for (int i = 0; i < 100 && held < latest; i++) {
             pass(0.5);
-            for (Following.Link open : state.links()) {
+            for (WatchStateMachine.Link open : state.links()) {
                 on(new Event.Answered(open.id()));
                 on(new Event.Told(
                         open.id(), open.asked() == 0 ? whole(latest, "all=LEAVING") : changes(latest, "all=LEAVING")));
--- a/src/test/java/dunlinladder/generation/GenerationTest.java
+++ b/src/test/java/dunlinladder/migration/GenerationTest.java
@@ -1,11 +1,11 @@
-package dunlinladder.generation;
+package dunlinladder.migration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinladder.apiformat.ApiFormat;
 import dunlinladder.core.Engine;
-import dunlinladder.dialect.Format;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -20,17 +20,20 @@
 /** Which engine may have which request, and how a move goes. */
 class GenerationTest {
 
-    private static final Generation OLD = new Generation("old", Format.COMPLETIONS, Set.of(), Set.of(), null);
+    private static final Generation OLD = new Generation("old", ApiFormat.COMPLETIONS, Set.of(), Set.of(), null);
     private static final Generation NEW =
-            new Generation("new", Format.RESPONSES, Set.of(), Set.of(), Pattern.compile("fresh-.*"));
+            new Generation("new", ApiFormat.RESPONSES, Set.of(), Set.of(), Pattern.compile("fresh-.*"));
     private static final List<Generation> BOTH = List.of(NEW, OLD);
 
-    private static Move move(double failed, boolean back) {
-        return new Move(
+    private static MigrationPlan move(double failed, boolean back) {
+        return new MigrationPlan(
                 "old",
                 "new",
-                List.of(new Move.Stage(0.1, 0.5, 60), new Move.Stage(0.5, 1, 60), new Move.Stage(1, 1, 60)),
-                new Move.Stop(failed, 0.05, 2, 20, back),
+                List.of(
+                        new MigrationPlan.Stage(0.1, 0.5, 60),
+                        new MigrationPlan.Stage(0.5, 1, 60),
+                        new MigrationPlan.Stage(1, 1, 60)),
+                new MigrationPlan.Stop(failed, 0.05, 2, 20, back),
                 10);
     }
 
@@ -40,12 +43,17 @@
 
     private final List<Engine> listed = new ArrayList<>(List.of(engine("fresh-1", 0), engine("box-1", 0)));
 
-    private Routing routing(Move move, long seed) {
-        return new Routing(
-                BOTH, move, () -> listed, e -> e.kind() == 0 ? Routing.READS | Routing.WRITES : e.kind(), seed, 0);
+    private EngineEligibility routing(MigrationPlan move, long seed) {
+        return new EngineEligibility(
+                BOTH,
+                move,
+                () -> listed,
+                e -> e.kind() == 0 ? EngineEligibility.READS | EngineEligibility.WRITES : e.kind(),
+                seed,
+                0);
     }
 
-    private static void good(Progress progress, int count, double now) {
+    private static void good(MigrationProgress progress, int count, double now) {
         for (int i = 0; i < count; i++) {
             progress.answered(true, false, 0.1, now);
             progress.answered(false, false, 0.1, now);
@@ -54,7 +62,7 @@
 
     @Test
     void aMoveThatGoesWellOpensItsStagesAndEnds() {
-        Progress progress = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress progress = new MigrationProgress(move(0.02, true), 1, 0);
         double now = 0;
         for (int stage = 0; stage < 3; stage++) {
             assertEquals(stage, progress.number());
@@ -62,13 +70,13 @@
             assertEquals(stage, progress.number(), "before its time");
             progress.tick(now += 20);
         }
-        assertEquals(Progress.State.DONE, progress.state());
+        assertEquals(MigrationProgress.State.DONE, progress.state());
         assertEquals(1, progress.stage().engines());
     }
 
     @Test
     void aStageWithoutAnswersDoesNotOpenTheNext() {
-        Progress progress = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress progress = new MigrationProgress(move(0.02, true), 1, 0);
         progress.tick(10_000);
         assertEquals(0, progress.number());
         good(progress, 20, 10_001);
@@ -77,8 +85,8 @@
 
     @ParameterizedTest
     @CsvSource({"true, MOVING, 0", "false, STOPPED, 1"})
-    void failuresGoBackOrStop(boolean back, Progress.State state, int stage) {
-        Progress progress = new Progress(move(0.02, back), 1, 0);
+    void failuresGoBackOrStop(boolean back, MigrationProgress.State state, int stage) {
+        MigrationProgress progress = new MigrationProgress(move(0.02, back), 1, 0);
         good(progress, 30, 59);
         progress.tick(80);
         assertEquals(1, progress.number());
@@ -93,7 +101,7 @@
     /** What fails in both generations alike is no fault of the new one. */
     @Test
     void failuresOfAllEnginesAlikeDoNotStopAMove() {
-        Progress progress = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress progress = new MigrationProgress(move(0.02, true), 1, 0);
         for (int i = 0; i < 100; i++) {
             progress.answered(false, i % 3 == 0, 0.1, 10);
             progress.answered(true, i % 3 == 0, 0.1, 10);
@@ -103,13 +111,13 @@
 
     @Test
     void slowAnswersAndUntranslatableRequestsGoBack() {
-        Progress slow = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress slow = new MigrationProgress(move(0.02, true), 1, 0);
         for (int i = 0; i < 20; i++) {
             slow.answered(false, false, 0.1, 1);
             slow.answered(true, false, 0.5, 1);
         }
         assertTrue(slow.reason().startsWith("first token"), slow.reason());
-        Progress lacking = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress lacking = new MigrationProgress(move(0.02, true), 1, 0);
         good(lacking, 18, 1);
         lacking.untranslatable(1);
         lacking.untranslatable(1);
@@ -119,9 +127,9 @@
     /** Going back costs ever longer waits, and after a few times the move stays where it is. */
     @Test
     void aMoveDoesNotFlap() {
-        Progress progress = new Progress(move(0.02, true), 1, 0);
+        MigrationProgress progress = new MigrationProgress(move(0.02, true), 1, 0);
         List<Integer> stages = new ArrayList<>();
-        for (double now = 1; now < 20_000 && progress.state() == Progress.State.MOVING; now++) {
+        for (double now = 1; now < 20_000 && progress.state() == MigrationProgress.State.MOVING; now++) {
             // All goes well in the first stage, and nothing beyond.
             progress.answered(true, progress.number() > 0, 0.1, now);
             progress.answered(false, false, 0.1, now);
@@ -130,14 +138,14 @@
             }
         }
         assertEquals(List.of(0, 1, 0, 1, 0, 1, 0, 1), stages);
-        assertEquals(Progress.State.STOPPED, progress.state());
+        assertEquals(MigrationProgress.State.STOPPED, progress.state());
     }
 
     @Test
     void gatewaysOpenAStageOneAfterTheOther() {
         List<Double> opened = new ArrayList<>();
         for (int gateway = 0; gateway < 64; gateway++) {
-            Progress progress = new Progress(move(0.02, true), new Random(gateway).nextLong(), 0);
+            MigrationProgress progress = new MigrationProgress(move(0.02, true), new Random(gateway).nextLong(), 0);
             good(progress, 30, 1);
             for (double now = 59; progress.number() == 0; now += 0.05) {
                 progress.tick(now);
@@ -150,7 +158,7 @@
 
     @Test
     void anEngineThatDoesNotSpeakItsFormatIsTriedRarelyAndOnlyWithWhatMayRepeat() {
-        Evidence evidence = new Evidence(5, 300, 1);
+        FormatEvidence evidence = new FormatEvidence(5, 300, 1);
         assertTrue(evidence.may("e", 0, false, 0));
         evidence.knowsNot("e", 0, 0);
         assertFalse(evidence.may("e", 0, true, 3.7));
@@ -174,10 +182,10 @@
 
     @Test
     void anEngineGetsOnlyWhatItsFormatExpresses() {
-        Routing routing = routing(null, 1);
-        Routing.Ask ask = new Routing.Ask("a", 0, true);
+        EngineEligibility routing = routing(null, 1);
+        EngineEligibility.Ask ask = new EngineEligibility.Ask("a", 0, true);
         assertTrue(routing.may(engine("fresh-1", 0), ask, 0) && routing.may(engine("box-1", 0), ask, 0));
-        ask.lacks(Format.RESPONSES, "suffix");
+        ask.lacks(ApiFormat.RESPONSES, "suffix");
         assertFalse(routing.may(engine("fresh-1", 0), ask, 0));
         assertTrue(routing.may(engine("box-1", 0), ask, 0));
         assertEquals(Optional.empty(), routing.hopeless(ask, 0));
@@ -192,19 +200,19 @@
     void aGenerationNeedsBothStages() {
         Engine reader = new Engine("fresh-2", "127.0.0.1:1", 0, 1, 0, Engine.State.ACTIVE, 1, 0);
         listed.set(0, reader);
-        Routing routing = routing(null, 1);
-        assertFalse(routing.may(reader, new Routing.Ask("a", 0, true), 0));
+        EngineEligibility routing = routing(null, 1);
+        assertFalse(routing.may(reader, new EngineEligibility.Ask("a", 0, true), 0));
         listed.add(new Engine("fresh-3", "127.0.0.1:1", 0, 2, 0, Engine.State.LEAVING, 1, 0));
-        assertFalse(routing.may(reader, new Routing.Ask("a", 0, true), 1));
+        assertFalse(routing.may(reader, new EngineEligibility.Ask("a", 0, true), 1));
         listed.set(2, new Engine("fresh-3", "127.0.0.1:1", 0, 2, 0, Engine.State.ACTIVE, 1, 0));
-        assertTrue(routing.may(reader, new Routing.Ask("a", 0, true), 2));
+        assertTrue(routing.may(reader, new EngineEligibility.Ask("a", 0, true), 2));
     }
 
     /** A state that an engine of one generation holds can be taken by one of the same only. */
     @Test
     void aReadIsAnsweredInItsOwnGeneration() {
-        Routing routing = routing(null, 1);
-        Routing.Ask ask = new Routing.Ask("a", 0, true);
+        EngineEligibility routing = routing(null, 1);
+        EngineEligibility.Ask ask = new EngineEligibility.Ask("a", 0, true);
         ask.readBy("new");
         Engine reader = new Engine("box-2", "127.0.0.1:1", 0, 1, 0, Engine.State.ACTIVE, 1, 0);
         listed.add(reader);
@@ -218,16 +226,20 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.5, 1})
     void aStagesShareOfEnginesMovesTheSameAtEveryGateway(double share) {
-        Move move = new Move(
-                "old", "new", List.of(new Move.Stage(share, 1, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
-        Routing one = routing(move, 1);
-        Routing other = routing(move, 99);
+        MigrationPlan move = new MigrationPlan(
+                "old",
+                "new",
+                List.of(new MigrationPlan.Stage(share, 1, 60)),
+                new MigrationPlan.Stop(0.02, 0.05, 2, 20, true),
+                10);
+        EngineEligibility one = routing(move, 1);
+        EngineEligibility other = routing(move, 99);
         listed.clear();
         for (int i = 0; i < 1000; i++) {
             listed.add(engine("box-" + i, 0));
         }
-        one.may(listed.get(0), new Routing.Ask("a", 0, true), 0);
-        other.may(listed.get(0), new Routing.Ask("a", 0, true), 0);
+        one.may(listed.get(0), new EngineEligibility.Ask("a", 0, true), 0);
+        other.may(listed.get(0), new EngineEligibility.Ask("a", 0, true), 0);
         int moved = 0;
         for (Engine box : listed) {
             assertEquals(
@@ -241,12 +253,16 @@
     /** An engine that has just moved is offered to ever more requests, not to all at once. */
     @Test
     void aMovedEngineGetsItsShareStepByStep() {
-        Move move =
-                new Move("old", "new", List.of(new Move.Stage(1, 1, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
-        Routing routing = routing(move, 1);
+        MigrationPlan move = new MigrationPlan(
+                "old",
+                "new",
+                List.of(new MigrationPlan.Stage(1, 1, 60)),
+                new MigrationPlan.Stop(0.02, 0.05, 2, 20, true),
+                10);
+        EngineEligibility routing = routing(move, 1);
         double[] shares = new double[3];
         for (int i = 0; i < 3000; i++) {
-            Routing.Ask ask = new Routing.Ask("r" + i, 0, true);
+            EngineEligibility.Ask ask = new EngineEligibility.Ask("r" + i, 0, true);
             for (int at = 0; at < 3; at++) {
                 shares[at] += routing.may(engine("box-1", 0), ask, at * 5.0) ? 1 / 3000.0 : 0;
             }
@@ -258,12 +274,16 @@
 
     @Test
     void shopsOutsideAStageStayWithTheOldEngines() {
-        Move move =
-                new Move("old", "new", List.of(new Move.Stage(1, 0.5, 60)), new Move.Stop(0.02, 0.05, 2, 20, true), 10);
-        Routing routing = routing(move, 1);
+        MigrationPlan move = new MigrationPlan(
+                "old",
+                "new",
+                List.of(new MigrationPlan.Stage(1, 0.5, 60)),
+                new MigrationPlan.Stop(0.02, 0.05, 2, 20, true),
+                10);
+        EngineEligibility routing = routing(move, 1);
         int may = 0;
         for (int shop = 0; shop < 1000; shop++) {
-            may += routing.may(engine("box-1", 0), new Routing.Ask("r", shop, true), 100) ? 1 : 0;
+            may += routing.may(engine("box-1", 0), new EngineEligibility.Ask("r", shop, true), 100) ? 1 : 0;
         }
         assertEquals(0.5, may / 1000.0, 0.06);
     }
--- a/src/test/java/dunlinladder/decision/IntakeTest.java
+++ b/src/test/java/dunlinladder/routing/AdmissionQueueTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,13 +8,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** How fast requests are let in as the lag, of which 0.1 s can be borne, goes by. */
-class IntakeTest {
+class AdmissionQueueTest {
 
     /** Twenty wait; at each look so many are let in. */
     @ParameterizedTest
     @CsvSource({"0 0 0 0 0 0, 1 2 4 8 5 0", "0.2 0.2 0.2, 0 0 0", "0 0 0.2 0 0, 1 2 0 1 2", "0.1 0.11 0.1, 1 0 1"})
     void letsInTwiceAsManyWhileItCatchesUp(String lags, String let) {
-        Intake<Integer> intake = new Intake<>(0.1);
+        AdmissionQueue<Integer> intake = new AdmissionQueue<>(0.1);
         for (int i = 0; i < 20; i++) {
             intake.add(i);
         }
@@ -36,7 +36,7 @@
     @ParameterizedTest
     @CsvSource({"0, false, true", "0.1, false, true", "0.11, false, false", "0, true, false"})
     void isOpenAtOnce(double lag, boolean one, boolean open) {
-        Intake<String> intake = new Intake<>(0.1);
+        AdmissionQueue<String> intake = new AdmissionQueue<>(0.1);
         intake.add("gone");
         intake.remove("gone");
         if (one) {
--- a/src/test/java/dunlinladder/decision/DecisionsTest.java
+++ b/src/test/java/dunlinladder/routing/BlockingRequestRouterTest.java
@@ -1,14 +1,14 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import dunlinladder.core.Clock;
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
 import dunlinladder.core.Request;
-import dunlinladder.core.Step;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.core.RoutingDecision;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -19,18 +19,18 @@
 
 /** What becomes of a request that comes while the process itself is behind. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class DecisionsTest {
+class BlockingRequestRouterTest {
 
     private volatile double lag = 1;
     private final Clock clock = new Clock();
     private final List<String> released = new ArrayList<>();
     /** With an aim of 100 s, half of which a request waits: a stalled machine does not decide a test. */
-    private final Decisions decisions = new Decisions(
+    private final BlockingRequestRouter decisions = new BlockingRequestRouter(
             FleetRulesTest.settings(2, 100, 0.25, 2.5, 2, 12, 0.3, 0.5), 1, clock, released::add, () -> lag, 0.1);
 
     @BeforeEach
     void aReaderAndAWriter() {
-        decisions.list(Decider.Scope.COMPLETE, List.of(engine("r0", 0), engine("w0", 1)));
+        decisions.endpointsUpdated(RequestRouter.Scope.COMPLETE, List.of(engine("r0", 0), engine("w0", 1)));
     }
 
     private static Engine engine(String id, int kind) {
@@ -42,9 +42,9 @@
     }
 
     /** Starts a request and returns once it waits. */
-    private FutureTask<Step> waiting() {
-        Callable<Step> pick = () -> decisions.pick(request(200));
-        FutureTask<Step> step = new FutureTask<>(pick);
+    private FutureTask<RoutingDecision> waiting() {
+        Callable<RoutingDecision> pick = () -> decisions.nextDecision(request(200));
+        FutureTask<RoutingDecision> step = new FutureTask<>(pick);
         Thread thread = new Thread(step);
         thread.setDaemon(true);
         thread.start();
@@ -56,28 +56,31 @@
 
     @Test
     void isDecidedWhenTheProcessHasCaughtUp() throws Exception {
-        FutureTask<Step> step = waiting();
+        FutureTask<RoutingDecision> step = waiting();
         decisions.pulse();
         assertFalse(step.isDone());
         lag = 0;
         decisions.pulse();
-        assertInstanceOf(Step.Send.class, step.get());
+        assertInstanceOf(RoutingDecision.Forward.class, step.get());
     }
 
     @Test
     void isDroppedWhenItsClientLeaves() throws Exception {
-        FutureTask<Step> step = waiting();
-        decisions.gone("a");
-        assertInstanceOf(Step.Drop.class, step.get());
+        FutureTask<RoutingDecision> step = waiting();
+        decisions.clientDisconnected("a");
+        assertInstanceOf(RoutingDecision.Discard.class, step.get());
         lag = 0;
         decisions.pulse();
-        assertInstanceOf(Step.Send.class, decisions.pick(request(5)), "its place in the row is free again");
+        assertInstanceOf(
+                RoutingDecision.Forward.class,
+                decisions.nextDecision(request(5)),
+                "its place in the row is free again");
     }
 
     /** It was not sent to any engine, so trying again is harmless. */
     @Test
     void isRefusedWhileItsClientStillListens() throws Exception {
-        assertInstanceOf(Step.Refuse.class, decisions.pick(request(0.05)));
+        assertInstanceOf(RoutingDecision.Reject.class, decisions.nextDecision(request(0.05)));
         assertEquals(List.of(), released);
     }
 }
--- a/src/test/java/dunlinladder/decision/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -1,10 +1,10 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
-import dunlinladder.decision.Router.Effect;
-import dunlinladder.decision.Router.Group;
-import dunlinladder.decision.Router.Lifecycle;
-import dunlinladder.decision.Router.Role;
-import dunlinladder.decision.Router.Status;
+import dunlinladder.routing.Router.Effect;
+import dunlinladder.routing.Router.Group;
+import dunlinladder.routing.Router.Lifecycle;
+import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.Router.Status;
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
     private final Map<String, Double> sentAt = new HashMap<>();
     private final Map<String, Double> finalAt = new HashMap<>();
     private final List<double[]> timers = new ArrayList<>();
-    private Router router = new Logic(settings, 1);
+    private Router router = new RoutingPolicy(settings, 1);
     private double now = 100;
 
     static Router.Settings settings(Effect effect, Group group) {
@@ -33,7 +33,7 @@
                 0,
                 List.of(new Router.ServiceClass(1, 0.05, 0, 0.05, effect, group, 5, 1, 0.1)),
                 List.of(100.0),
-                List.of(Role.READ, Role.WRITE, Role.BOTH),
+                List.of(Role.PREFILL, Role.DECODE, Role.MIXED),
                 List.of(2e5, 2e5, 2e5),
                 6,
                 false,
@@ -77,7 +77,7 @@
     }
 
     Fleet seed(long seed) {
-        router = new Logic(settings, seed);
+        router = new RoutingPolicy(settings, seed);
         return listed();
     }
 
@@ -106,7 +106,7 @@
 
     /** Starts the module afresh, with the list as it stands. */
     Fleet restartRouter() {
-        router = new Logic(settings, 1);
+        router = new RoutingPolicy(settings, 1);
         return listed();
     }
 
@@ -251,7 +251,7 @@
 
     /** Plays a request to its good end. */
     void serve(String id) {
-        outcome(id, Status.READ);
+        outcome(id, Status.PREFILLED);
         first(id);
         outcome(id, Status.OK);
     }
@@ -269,7 +269,7 @@
         return from
                 + (int) sent.stream()
                         .skip(from)
-                        .filter(send -> members.get(send.worker()).kind() != Role.READ.ordinal())
+                        .filter(send -> members.get(send.worker()).kind() != Role.PREFILL.ordinal())
                         .count();
     }
 
--- a/src/test/java/dunlinladder/decision/FleetRulesTest.java
+++ b/src/test/java/dunlinladder/routing/FleetRulesTest.java
@@ -1,11 +1,11 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.decision.Router.Effect;
-import dunlinladder.decision.Router.Group;
-import dunlinladder.decision.Router.Role;
+import dunlinladder.routing.Router.Effect;
+import dunlinladder.routing.Router.Group;
+import dunlinladder.routing.Router.Role;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -34,7 +34,7 @@
                         new Router.ServiceClass(aim, 0.05, 0.05, 0.06, Effect.SAFE, Group.ALL, 5, 1, 0.2),
                         new Router.ServiceClass(2 * aim, 0.05, 0.05, 0.06, Effect.UNSAFE, Group.ALL, 5, 3, 0.3)),
                 List.of(1e9),
-                List.of(Role.READ, Role.WRITE, Role.BOTH),
+                List.of(Role.PREFILL, Role.DECODE, Role.MIXED),
                 List.of(2e5, 2e5, 2e5),
                 5,
                 false,
--- a/src/test/java/dunlinladder/decision/GoldenDecisionTraceTest.java
+++ b/src/test/java/dunlinladder/routing/GoldenDecisionTraceTest.java
@@ -1,10 +1,10 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinladder.decision.Router.Effect;
-import dunlinladder.decision.Router.Group;
-import dunlinladder.decision.Router.Role;
+import dunlinladder.routing.Router.Effect;
+import dunlinladder.routing.Router.Group;
+import dunlinladder.routing.Router.Role;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -102,7 +102,7 @@
                         type(1.6, 0, 0.06, Effect.UNSAFE, Group.ALL, 5),
                         type(1.2, 0.1, 0.05, Effect.KEYED, Group.CELL, 1)),
                 List.of(1e9, 8.0, 0.5),
-                List.of(Role.READ, Role.WRITE, Role.BOTH),
+                List.of(Role.PREFILL, Role.DECODE, Role.MIXED),
                 List.of(2e5, 6e4, 4e4),
                 5,
                 false,
@@ -123,7 +123,7 @@
                         type(2, 0.04, 0.08, Effect.UNSAFE, Group.CELL, 5),
                         type(1.4, 0.04, 0, Effect.KEYED, Group.ZONE, 6)),
                 List.of(20.0, 5.0, 1e9, 2.0),
-                List.of(Role.READ, Role.WRITE, Role.READ, Role.BOTH, Role.WRITE),
+                List.of(Role.PREFILL, Role.DECODE, Role.PREFILL, Role.MIXED, Role.DECODE),
                 List.of(1e5, 5e4, 2e5, 3e4),
                 4,
                 true,
--- a/src/test/java/dunlinladder/decision/GoldenFleet.java
+++ b/src/test/java/dunlinladder/routing/GoldenFleet.java
@@ -1,9 +1,9 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
-import dunlinladder.decision.Router.Lifecycle;
-import dunlinladder.decision.Router.Role;
-import dunlinladder.decision.Router.Scope;
-import dunlinladder.decision.Router.Status;
+import dunlinladder.routing.Router.Lifecycle;
+import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.Router.Scope;
+import dunlinladder.routing.Router.Status;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -95,7 +95,7 @@
             }
         }
         for (int i = 0; i < figures.gateways; i++) {
-            gateways.add(new Logic(settings, figures.seed * 31 + i));
+            gateways.add(new RoutingPolicy(settings, figures.seed * 31 + i));
             list(i, Scope.COMPLETE, engines);
         }
     }
@@ -134,7 +134,7 @@
 
     private Role role(Engine engine) {
         List<Role> roles = settings.roleByKind();
-        return engine.kind < roles.size() ? roles.get(engine.kind) : Role.BOTH;
+        return engine.kind < roles.size() ? roles.get(engine.kind) : Role.MIXED;
     }
 
     // ---- Clients ----
@@ -144,7 +144,7 @@
         if (load > 0) {
             arrive();
         }
-        long readers = engines.stream().filter(e -> role(e) == Role.READ).count();
+        long readers = engines.stream().filter(e -> role(e) == Role.PREFILL).count();
         double rate = load > 0 ? load * readers / (figures.read * 1.3) : 10;
         if (now < end) {
             in((0.2 + 1.6 * random.nextDouble()) / rate, () -> arrivals(end));
@@ -261,10 +261,10 @@
         if (!engine.up || outage || now < engine.connectsAt || chance(0.01)) {
             in(chance(0.4) ? Math.min(limit, 0.25) : 0.002, () -> ended(attempt, Status.CONNECT_FAILED, 0));
         } else if (chance(0.004)) {
-            in(0.01, () -> ended(attempt, Status.MOOT, 0));
+            in(0.01, () -> ended(attempt, Status.NOT_SENT, 0));
         } else if (chance(0.01)) {
             in(limit, () -> ended(attempt, Status.TIMEOUT, 0));
-        } else if (role(engine) == Role.READ) {
+        } else if (role(engine) == Role.PREFILL) {
             read(attempt, limit);
         } else {
             write(attempt, limit);
@@ -294,7 +294,7 @@
         in(engine.freeAt - now, () -> {
             boolean well = engine.up && engine.born == born && !chance(0.01);
             attempt.call.holder = well && attempt.call.out ? engine : null;
-            ended(attempt, well ? Status.READ : chance(0.5) ? Status.RESET : Status.ERROR, well ? found : 0);
+            ended(attempt, well ? Status.PREFILLED : chance(0.5) ? Status.RESET : Status.ERROR, well ? found : 0);
         });
     }
 
@@ -302,7 +302,7 @@
         Engine engine = attempt.engine;
         Call call = attempt.call;
         boolean held = call.holder != null && call.holder.up && !chance(0.01);
-        if (role(engine) == Role.WRITE && !held && !settings.readInPlace()) {
+        if (role(engine) == Role.DECODE && !held && !settings.readInPlace()) {
             in(0.005, () -> ended(attempt, Status.FULL, 1));
         } else if (engine.running >= figures.slots) {
             in(0.005, () -> ended(attempt, Status.FULL, 0));
@@ -350,7 +350,7 @@
 
     private void ended(Try attempt, Status status, double note) {
         Call call = attempt.call;
-        Status told = call.done && status != Status.READ && chance(0.3) ? Status.CANCELLED : status;
+        Status told = call.done && status != Status.PREFILLED && chance(0.3) ? Status.CANCELLED : status;
         boolean closed = call.done || call.begun || told == Status.OK;
         call.out = false;
         call.done |= closed;
--- a/src/test/java/dunlinladder/decision/LogicTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -1,30 +1,30 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.decision.Router.Effect;
-import dunlinladder.decision.Router.Group;
-import dunlinladder.decision.Router.Role;
-import dunlinladder.decision.Router.Status;
+import dunlinladder.routing.Router.Effect;
+import dunlinladder.routing.Router.Group;
+import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.Router.Status;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** The module on hand-made events: the ordinary path, the rules, each outcome at each stage. */
-class LogicTest {
+class RoutingPolicyTest {
 
     private static final String NEAR_READER = "r0";
     private static final String FAR_READER = "r1";
 
     private static Fleet pair() {
         return new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("r1", 1, Role.READ)
-                .with("w1", 1, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("r1", 1, Role.PREFILL)
+                .with("w1", 1, Role.DECODE)
                 .listed();
     }
 
@@ -32,7 +32,7 @@
     void readsThenPullsInTheReadersCell() {
         Fleet fleet = pair();
         String reader = fleet.arrive("a").worker();
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         assertEquals(reader.replace('r', 'w'), fleet.lastSend().worker());
         fleet.first("a");
         fleet.outcome("a", Status.OK);
@@ -95,21 +95,21 @@
     @Test
     void fullWriterIsPassedOver() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("w1", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("w1", 0, Role.DECODE)
                 .listed();
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         String full = fleet.lastSend().worker();
         fleet.first("a");
         fleet.arrive("b");
-        fleet.outcome("b", Status.READ);
+        fleet.outcome("b", Status.PREFILLED);
         assertFalse(full.equals(fleet.lastSend().worker()));
         fleet.first("b");
         fleet.reported("a", Status.OK, Map.of("x0", 0.97, "x1", 0.0));
         fleet.arrive("c");
-        fleet.outcome("c", Status.READ);
+        fleet.outcome("c", Status.PREFILLED);
         assertFalse(full.equals(fleet.lastSend().worker()));
     }
 
@@ -117,9 +117,9 @@
     @Test
     void mixedServerHelpsJammedReaders() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("m0", 0, Role.BOTH)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("m0", 0, Role.MIXED)
                 .listed();
         assertEquals("r0", fleet.arrive("a").worker());
         fleet.run(0.4);
@@ -131,16 +131,16 @@
     void mixedServerWhoseStreamsLagGetsNoMore() {
         for (double lasting : new double[] {0.2, 2}) {
             Fleet fleet = new Fleet()
-                    .with("r0", 0, Role.READ)
-                    .with("w0", 0, Role.WRITE)
-                    .with("m0", 0, Role.BOTH)
+                    .with("r0", 0, Role.PREFILL)
+                    .with("w0", 0, Role.DECODE)
+                    .with("m0", 0, Role.MIXED)
                     .listed();
             int[] whole = new int[2];
             for (int i = 0; i < 60; i++) {
                 String id = "a" + i;
                 boolean mixed = fleet.arrive(id).worker().equals("m0");
                 if (!mixed) {
-                    fleet.outcome(id, Status.READ);
+                    fleet.outcome(id, Status.PREFILLED);
                 }
                 fleet.first(id);
                 whole[i / 30] += mixed ? 1 : 0;
@@ -168,10 +168,10 @@
     @Test
     void unreachableServersStayBarredHoweverMany() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("r1", 0, Role.READ)
-                .with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("r1", 0, Role.PREFILL)
+                .with("r2", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
                 .listed();
         int failed = 0;
         for (int i = 0; i < 40; i++) {
@@ -188,9 +188,9 @@
     /** What was sent lately is dropped as more is sent, whether or not anybody asks for it. */
     @Test
     void whatWasSentLatelyIsBounded() {
-        Worker writer = new Worker("w0");
+        EngineState writer = new EngineState("w0");
         for (int i = 0; i < 100; i++) {
-            writer.sent(new Attempt(null, i, writer, Attempt.Stage.WRITE, i), 3);
+            writer.sent(new Attempt(null, i, writer, Attempt.Stage.DECODE, i), 3);
         }
         assertEquals(4, writer.sentSince.size());
     }
@@ -231,16 +231,16 @@
     @Test
     void mixedServerTakesItsShareWhole() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("m0", 0, Role.BOTH)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("m0", 0, Role.MIXED)
                 .listed();
         int whole = 0;
         for (int i = 0; i < 20; i++) {
             boolean mixed = fleet.arrive("a" + i).worker().equals("m0");
             whole += mixed ? 1 : 0;
             if (!mixed) {
-                fleet.outcome("a" + i, Status.READ);
+                fleet.outcome("a" + i, Status.PREFILLED);
             }
         }
         assertTrue(whole > 3 && whole < 12, "whole: " + whole);
@@ -252,7 +252,7 @@
                 Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair();
             fleet.arrive("a");
-            fleet.outcome("a", Status.READ);
+            fleet.outcome("a", Status.PREFILLED);
             String writer = fleet.lastSend().worker();
             fleet.outcome("a", status);
             assertEquals(writer.equals("w0") ? "w1" : "w0", fleet.lastSend().worker(), status.name());
@@ -263,7 +263,7 @@
     void lostStateIsReleasedAndReadAgain() {
         Fleet fleet = pair();
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         fleet.outcome("a", Status.FULL, 1, false);
         assertEquals(1, fleet.releases("a"), "a cut-off reader still holds it");
         assertTrue(fleet.lastSend().worker().startsWith("r"));
@@ -287,7 +287,7 @@
         Fleet fleet = pair().drain("r0").drain("w0");
         for (int i = 0; i < 8; i++) {
             assertEquals("r1", fleet.arrive("a" + i).worker());
-            fleet.outcome("a" + i, Status.READ);
+            fleet.outcome("a" + i, Status.PREFILLED);
             assertEquals("w1", fleet.lastSend().worker());
         }
     }
@@ -306,15 +306,15 @@
         Fleet fleet = new Fleet().listed();
         fleet.request("a", 1);
         fleet.run(1);
-        fleet.with("r0", 0, Role.READ).listed();
+        fleet.with("r0", 0, Role.PREFILL).listed();
         assertEquals("r0", fleet.lastSend().worker());
     }
 
     @Test
     void heldStateIsReleasedInTimeWhenNoWriterIsReady() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).listed();
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         fleet.run(fleet.settings.rules().releaseWithin());
         assertEquals(1, fleet.releases("a"));
     }
@@ -327,7 +327,7 @@
             for (double chance : new double[] {0, 0.5, 0.99}) {
                 assertEquals(
                         Math.min(1, known * (0.5 + chance)),
-                        Job.advice(wait, Fleet.settings(Effect.SAFE, Group.ALL), chance));
+                        RequestState.advice(wait, Fleet.settings(Effect.SAFE, Group.ALL), chance));
             }
         }
     }
@@ -352,13 +352,13 @@
     @Test
     void aStateWhoseWritersCannotBeReachedIsLetGo() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("w1", 0, Role.WRITE)
-                .with("w2", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("w1", 0, Role.DECODE)
+                .with("w2", 0, Role.DECODE)
                 .listed();
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         fleet.run(0.25);
         fleet.outcome("a", Status.CONNECT_FAILED);
         assertEquals(0, fleet.releases("a"));
@@ -370,7 +370,7 @@
     /** A link is cut after the read: the reader holds a state that nobody was told of. */
     @Test
     void stateOfALostReadIsReleasedInTime() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).listed();
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
         fleet.drain("r0");
         fleet.outcome("a", Status.RESET);
@@ -386,9 +386,9 @@
         for (int i = 0; i < routers; i++) {
             Fleet fleet = new Fleet()
                     .routers(routers)
-                    .with("r0", 0, Role.READ)
-                    .with("r1", 0, Role.READ)
-                    .with("w0", 0, Role.WRITE)
+                    .with("r0", 0, Role.PREFILL)
+                    .with("r1", 0, Role.PREFILL)
+                    .with("w0", 0, Role.DECODE)
                     .seed(i);
             fleet.restart("r1").arrive("a" + i);
             fleet.arrive("b" + i);
@@ -404,7 +404,7 @@
         for (Status status : List.of(Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair().type(Effect.UNSAFE, Group.ALL);
             fleet.arrive("a");
-            fleet.outcome("a", Status.READ);
+            fleet.outcome("a", Status.PREFILLED);
             int sends = fleet.sends();
             fleet.outcome("a", status);
             fleet.run(5.5);
@@ -415,9 +415,9 @@
 
     @Test
     void keyedRequestStaysInItsGroup() {
-        Fleet fleet = pair().with("v0", 0, Role.WRITE).listed().type(Effect.KEYED, Group.CELL);
+        Fleet fleet = pair().with("v0", 0, Role.DECODE).listed().type(Effect.KEYED, Group.CELL);
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         int cell = fleet.cell(fleet.lastSend().worker());
         int sends = fleet.sends();
         fleet.outcome("a", Status.RESET);
@@ -432,16 +432,16 @@
         Fleet fleet = pair();
         fleet.arrive("a");
         fleet.gone("a");
-        fleet.outcome("a", Status.READ, 0, true);
+        fleet.outcome("a", Status.PREFILLED, 0, true);
         assertEquals(1, fleet.releases("a"));
         assertEquals(1, fleet.sends());
     }
 
     @Test
     void leavingClientFreesAWaitingState() {
-        Fleet fleet = new Fleet().with("r0", 0, Role.READ).listed();
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
-        fleet.outcome("a", Status.READ);
+        fleet.outcome("a", Status.PREFILLED);
         fleet.gone("a");
         assertEquals(1, fleet.releases("a"));
         fleet.run(6);
@@ -460,9 +460,9 @@
     @Test
     void coldServerGetsOnlyItsBudget() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("r1", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("r1", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
                 .listed();
         fleet.run(1);
         fleet.restart("r1");
@@ -477,10 +477,10 @@
     @Test
     void silentReaderIsLeftForTheOthers() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("r1", 0, Role.READ)
-                .with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("r1", 0, Role.PREFILL)
+                .with("r2", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
                 .listed();
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
@@ -515,7 +515,7 @@
         Fleet fleet = pair();
         for (int i = 0; i < 40; i++) {
             if (fleet.arrive("a" + i) != null) {
-                fleet.outcome("a" + i, i % 3 == 0 ? Status.ERROR : Status.READ);
+                fleet.outcome("a" + i, i % 3 == 0 ? Status.ERROR : Status.PREFILLED);
             }
             fleet.run(0.03);
         }
@@ -576,15 +576,15 @@
     @Test
     void clearlyLessLoadedWriterElsewhereIsTaken() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
-                .with("w1", 1, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("w1", 1, Role.DECODE)
                 .listed();
         boolean elsewhere = false;
         for (int i = 0; i < 12; i++) {
             fleet.arrive("a" + i);
             fleet.run(0.05);
-            fleet.outcome("a" + i, Status.READ);
+            fleet.outcome("a" + i, Status.PREFILLED);
             elsewhere |= fleet.lastSend().worker().equals("w1");
             fleet.first("a" + i);
             assertTrue(i > 0 || !elsewhere, "the first one stays in the cell");
@@ -596,7 +596,7 @@
     private static Fleet manyRouters() {
         Fleet fleet = new Fleet().routers(100);
         for (int k = 0; k < 30; k++) {
-            fleet.with("r" + k, k, Role.READ).with("w" + k, k, Role.WRITE);
+            fleet.with("r" + k, k, Role.PREFILL).with("w" + k, k, Role.DECODE);
         }
         return fleet.restartRouter();
     }
@@ -633,7 +633,7 @@
             fleet.opening("a" + i, 100 + i, 8000);
             assertEquals(0, fleet.finals("a" + i), "refused, the " + i + "th");
             fleet.run(0.4);
-            fleet.outcome("a" + i, Status.READ);
+            fleet.outcome("a" + i, Status.PREFILLED);
             fleet.run(0.02);
             fleet.first("a" + i);
             fleet.outcome("a" + i, Status.OK);
@@ -689,14 +689,14 @@
         int home = 0;
         int reads = 0;
         for (int i = 0; i < 200; i++) {
-            Fleet fleet = new Fleet().routers(100).with("w0", 0, Role.WRITE).with("r9", 1, Role.READ);
+            Fleet fleet = new Fleet().routers(100).with("w0", 0, Role.DECODE).with("r9", 1, Role.PREFILL);
             for (int k = 0; k < 5; k++) {
-                fleet.with("r" + k, 0, Role.READ).with("w" + (k + 1), 1, Role.WRITE);
+                fleet.with("r" + k, 0, Role.PREFILL).with("w" + (k + 1), 1, Role.DECODE);
             }
             fleet.seed(i).arrive("a" + i);
             if (!fleet.lastSend().worker().equals("r9")) {
                 reads++;
-                fleet.outcome("a" + i, Status.READ);
+                fleet.outcome("a" + i, Status.PREFILLED);
                 home += fleet.lastSend().worker().equals("w0") ? 1 : 0;
             }
         }
@@ -710,7 +710,7 @@
         for (int i = 0; i < 50; i++) {
             Fleet fleet = new Fleet().routers(100);
             for (int k = 0; k < 10; k++) {
-                fleet.with("r" + k, k, Role.READ).with("w" + k, k, Role.WRITE);
+                fleet.with("r" + k, k, Role.PREFILL).with("w" + k, k, Role.DECODE);
             }
             fleet.seed(i);
             for (int k = 0; k < 20; k++) {
@@ -728,9 +728,9 @@
     @Test
     void restartedRouterKeepsToTheColdBudget() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("r1", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("r1", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
                 .listed();
         fleet.restart("r0").restart("r1").restartRouter();
         int before = fleet.sends();
@@ -744,10 +744,10 @@
     @Test
     void failingServerDrawsNoMoreThanItsPeers() {
         Fleet fleet = new Fleet()
-                .with("r0", 0, Role.READ)
-                .with("r1", 0, Role.READ)
-                .with("r2", 0, Role.READ)
-                .with("w0", 0, Role.WRITE)
+                .with("r0", 0, Role.PREFILL)
+                .with("r1", 0, Role.PREFILL)
+                .with("r2", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
                 .listed();
         int erring = 0;
         for (int i = 0; i < 30; i++) {
@@ -773,7 +773,7 @@
         for (int router = 0; router < 14; router++) {
             Fleet fleet = new Fleet().routers(14);
             for (int k = 0; k < 10; k++) {
-                fleet.with("r" + k, 0, Role.READ).with("w" + k, 0, Role.WRITE);
+                fleet.with("r" + k, 0, Role.PREFILL).with("w" + k, 0, Role.DECODE);
             }
             fleet.seed(router);
             for (int i = 0; i < 80; i++) {
@@ -813,16 +813,16 @@
         Fleet fleet = new Fleet()
                 .type(effect, Group.ALL)
                 .routers(14)
-                .with("r0", 0, Role.READ)
-                .with("m0", 0, Role.BOTH)
-                .with("m1", 0, Role.BOTH)
-                .with("m2", 0, Role.BOTH)
+                .with("r0", 0, Role.PREFILL)
+                .with("m0", 0, Role.MIXED)
+                .with("m1", 0, Role.MIXED)
+                .with("m2", 0, Role.MIXED)
                 .seed(1);
         int failing = 0;
         for (int i = 0; i < 400; i++) {
             fleet.arrive("a" + i);
             if (fleet.lastSend().worker().startsWith("r")) {
-                fleet.outcome("a" + i, Status.READ);
+                fleet.outcome("a" + i, Status.PREFILLED);
             }
             if (fleet.lastSend().worker().equals("m0")) {
                 failing++;
--- a/src/test/java/dunlinladder/decision/VirtualFleet.java
+++ b/src/test/java/dunlinladder/routing/VirtualFleet.java
@@ -1,9 +1,9 @@
-package dunlinladder.decision;
+package dunlinladder.routing;
 
-import dunlinladder.decision.Router.Effect;
-import dunlinladder.decision.Router.Lifecycle;
-import dunlinladder.decision.Router.Role;
-import dunlinladder.decision.Router.Status;
+import dunlinladder.routing.Router.Effect;
+import dunlinladder.routing.Router.Lifecycle;
+import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.Router.Status;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -120,7 +120,7 @@
         }
         toldAt = new double[settings.balancers()];
         for (int i = 0; i < settings.balancers(); i++) {
-            gateways.add(new Logic(settings, seed + i));
+            gateways.add(new RoutingPolicy(settings, seed + i));
             told.add(new HashMap<>());
             handle(
                     i,
@@ -273,7 +273,7 @@
         Role role = settings.roleByKind().get(engine.kind);
         check(track.finals == 0 && !track.begun, send.id(), "is sent after its end");
         check(!track.out, send.id(), "is sent twice at once");
-        check(track.effect != Effect.UNSAFE || role == Role.READ || !track.mayHaveRun, send.id(), "runs again");
+        check(track.effect != Effect.UNSAFE || role == Role.PREFILL || !track.mayHaveRun, send.id(), "runs again");
         check(track.sends < settings.maxAttempts(), send.id(), "is sent too often");
         check(
                 now - told.get(gateway).getOrDefault(engine.id, now)
@@ -291,7 +291,7 @@
             in(
                     silent ? Math.min(0.25, Math.max(0, limit - now)) : 0.001,
                     () -> ended(send, track, attempt, sentAt, Status.CONNECT_FAILED, 0));
-        } else if (role == Role.READ) {
+        } else if (role == Role.PREFILL) {
             cold(engine);
             read(send, track, attempt, engine, limit);
         } else {
@@ -319,7 +319,7 @@
         }
         engine.sends.add(now);
         engine.sends.removeIf(at -> at < now - settings.rules().tipAfter());
-        double each = settings.roleByKind().get(engine.kind) == Role.READ
+        double each = settings.roleByKind().get(engine.kind) == Role.PREFILL
                 ? figures.read * 1.4
                 : figures.stream / figures.slots;
         double most = settings.rules().fallMultiple()
@@ -347,14 +347,14 @@
             if (alive && track.out) {
                 track.holder = engine;
             }
-            ended(send, track, attempt, sentAt, alive ? Status.READ : Status.RESET, 0);
+            ended(send, track, attempt, sentAt, alive ? Status.PREFILLED : Status.RESET, 0);
         });
     }
 
     private void write(Router.Send send, Track track, int attempt, Engine engine, Role role, double limit) {
         double sentAt = now;
         boolean state = track.holder != null && track.holder.up;
-        if (!state && role == Role.WRITE) {
+        if (!state && role == Role.DECODE) {
             in(0.005, () -> ended(send, track, attempt, sentAt, Status.FULL, 1));
             return;
         }
@@ -457,7 +457,7 @@
             track.holder = null;
         });
         told.get(gateway).clear();
-        gateways.set(gateway, new Logic(settings, random.nextLong()));
+        gateways.set(gateway, new RoutingPolicy(settings, random.nextLong()));
         handle(
                 gateway,
                 new Router.Members(
--- a/src/test/java/dunlinladder/wire/chat/ChatRequestTest.java
+++ b/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
@@ -1,10 +1,10 @@
-package dunlinladder.wire.chat;
+package dunlinladder.transport.chat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dunlinladder.dialect.Requests;
+import dunlinladder.apiformat.RequestTranslator;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +22,7 @@
             List.of(),
             List.of(),
             null,
-            Requests.Unknown.PASS);
+            RequestTranslator.Unknown.PASS);
     private static final String SYSTEM = "{'role':'system','content':'12345678'}";
     private static final String USER = "{'role':'user','content':'abcde'}";
     private static final String LATER = ",{'role':'assistant','content':'yes'},{'role':'user','content':'" + "more'}";
--- a/src/test/java/dunlinladder/wire/engine/ConnectionsTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineConnectionPoolTest.java
@@ -1,14 +1,14 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.sun.net.httpserver.HttpServer;
 import dunlinladder.core.Clock;
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
-import dunlinladder.core.Engines;
-import dunlinladder.core.Gate;
+import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.core.SendGuard;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -27,7 +27,7 @@
 
 /** What the connections to engines promise to the rules. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class ConnectionsTest {
+class EngineConnectionPoolTest {
 
     static final Limits LIMITS = limits(0.25);
 
@@ -61,9 +61,9 @@
                 0.25);
     }
 
-    private static PoolEntry<HttpHost, IOSession> lease(Connections connections, String address) {
+    private static PoolEntry<HttpHost, IOSession> lease(EngineConnectionPool connections, String address) {
         CompletableFuture<PoolEntry<HttpHost, IOSession>> leased = new CompletableFuture<>();
-        connections.lease(address, new Connections.Waiting() {
+        connections.lease(address, new EngineConnectionPool.Waiting() {
             @Override
             public void connected(PoolEntry<HttpHost, IOSession> entry, boolean reused) {
                 leased.complete(entry);
@@ -78,10 +78,10 @@
     }
 
     /** Has the thread that serves all connections take up one more, and stay there until it is released. */
-    static CountDownLatch occupy(Connections connections, String address) throws InterruptedException {
+    static CountDownLatch occupy(EngineConnectionPool connections, String address) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        connections.lease(address, new Connections.Waiting() {
+        connections.lease(address, new EngineConnectionPool.Waiting() {
             @Override
             public void connected(PoolEntry<HttpHost, IOSession> other, boolean reused) {
                 busy.countDown();
@@ -109,7 +109,7 @@
     void whatIsGivenUpEndsAtOnce() throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-                Connections connections = new Connections(LIMITS, timer)) {
+                EngineConnectionPool connections = new EngineConnectionPool(LIMITS, timer)) {
             String address = "127.0.0.1:" + listener.getLocalPort();
             PoolEntry<HttpHost, IOSession> entry = lease(connections, address);
             try (Socket peer = listener.accept()) {
@@ -137,17 +137,17 @@
                 "/", exchange -> asked.complete(exchange.getRequestMethod() + " " + exchange.getRequestURI()));
         alive.start();
         try (ServerSocket gone = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-                Connections connections = new Connections(LIMITS, timer)) {
-            Engines engines = new Engines();
+                EngineConnectionPool connections = new EngineConnectionPool(LIMITS, timer)) {
+            EngineRegistry engines = new EngineRegistry();
             String address = "127.0.0.1:" + alive.getAddress().getPort();
             List<Engine> listed = new ArrayList<>(List.of(engine("alive", address, 0)));
             for (int i = 0; i < 59; i++) {
                 // Each is gone without a word: connections come up and nothing is ever said on them.
                 listed.add(engine("gone-" + i, "127.0.0.1:" + gone.getLocalPort(), 0));
             }
-            engines.apply(Decider.Scope.COMPLETE, listed);
+            engines.apply(RequestRouter.Scope.COMPLETE, listed);
             connections.giveBack(lease(connections, address));
-            new EngineClient(connections, engines, new Gate(engines, new Clock(), 0), new Clock(), LIMITS, timer)
+            new EngineClient(connections, engines, new SendGuard(engines, new Clock(), 0), new Clock(), LIMITS, timer)
                     .release("held");
             assertEquals("DELETE /internal/reservations/held", asked.join());
         } finally {
@@ -180,8 +180,8 @@
         });
         alive.start();
         List<ServerSocket> cut = new ArrayList<>();
-        try (Connections connections = new Connections(patient, timer)) {
-            Engines engines = new Engines();
+        try (EngineConnectionPool connections = new EngineConnectionPool(patient, timer)) {
+            EngineRegistry engines = new EngineRegistry();
             String address = "127.0.0.1:" + alive.getAddress().getPort();
             List<Engine> listed = new ArrayList<>(List.of(engine("alive", address, 1)));
             for (int i = 0; i < patient.releaseTries(); i++) {
@@ -190,9 +190,9 @@
                 listed.add(engine("cut-" + i, silent, 0));
                 connections.giveBack(lease(connections, silent));
             }
-            engines.apply(Decider.Scope.COMPLETE, listed);
+            engines.apply(RequestRouter.Scope.COMPLETE, listed);
             EngineClient client = new EngineClient(
-                    connections, engines, new Gate(engines, new Clock(), 0), new Clock(), patient, timer);
+                    connections, engines, new SendGuard(engines, new Clock(), 0), new Clock(), patient, timer);
             client.release("held");
             assertEquals("DELETE /internal/reservations/held", asked.join());
             assertEquals(1, client.releasing());
--- a/src/test/java/dunlinladder/wire/engine/ReportsTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineReportReaderTest.java
@@ -1,8 +1,8 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinladder.wire.BadInput;
+import dunlinladder.transport.json.InvalidInputException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What engines tell beside their answers. */
-class ReportsTest {
+class EngineReportReaderTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -33,7 +33,7 @@
                 ",,|{}"
             })
     void loadReports(String text, String expected) {
-        assertEquals(expected, Reports.load(text).toString());
+        assertEquals(expected, EngineReportReader.load(text).toString());
     }
 
     @ParameterizedTest
@@ -41,11 +41,11 @@
             delimiter = '|',
             value = {"{\"cached_tokens\":4096}|4096", "{}|0", "hello|0", "''|0"})
     void keptInARead(String body, double expected) {
-        assertEquals(expected, Reports.keptInRead(body));
+        assertEquals(expected, EngineReportReader.keptInRead(body));
     }
 
     /** Feeds a stream in pieces that end at each bar; what passes is joined with bars, noise ends it. */
-    private static String cut(Events events, String pieces) {
+    private static String cut(EventStreamFilter events, String pieces) {
         StringBuilder passed = new StringBuilder();
         try {
             for (String piece : pieces.replace('/', '\n').split("\\|")) {
@@ -53,7 +53,7 @@
                 passed.append(StandardCharsets.ISO_8859_1.decode(whole)).append('|');
             }
             passed.append(StandardCharsets.ISO_8859_1.decode(events.end()));
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             passed.append('!');
         }
         return passed.toString().replace('\n', '/');
@@ -77,24 +77,24 @@
                 "HTTP/1.1 200 OK//;!"
             })
     void onlyWholeEventsPass(String pieces, String passed) {
-        assertEquals(passed, cut(new Events(64), pieces));
+        assertEquals(passed, cut(new EventStreamFilter(64), pieces));
     }
 
     /** Where there is no DNS a look-up holds up its thread, and all that waits for it, for seconds. */
     @Test
     void addressesAreNotLookedUp() throws Exception {
-        assertEquals("127.0.0.1", Connections.host("127.0.0.1:80").getHostName());
+        assertEquals("127.0.0.1", EngineConnectionPool.host("127.0.0.1:80").getHostName());
     }
 
     @Test
     void whatAStreamTellsBeside() {
-        Events events = new Events(1000);
+        EventStreamFilter events = new EventStreamFilter(1000);
         cut(
                 events,
                 "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":12}}}//"
                         + ": X-Server-Load: queue=3//data: [DONE]//");
         assertEquals(12, events.kept());
         assertEquals(Map.of("queue", 3.0), events.report());
-        assertEquals(0, new Events(1000).kept());
+        assertEquals(0, new EventStreamFilter(1000).kept());
     }
 }
--- a/src/test/java/dunlinladder/wire/engine/PulseTest.java
+++ b/src/test/java/dunlinladder/transport/engine/SchedulingLagMonitorTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire.engine;
+package dunlinladder.transport.engine;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,15 +12,15 @@
 
 /** The lag that the program sees is that of the thread that hears the engines. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PulseTest {
+class SchedulingLagMonitorTest {
 
     @Test
     void theLagGrowsWhileTheThreadIsBusyAndFallsWhenItIsFree() throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-                Connections connections = new Connections(ConnectionsTest.LIMITS, timer);
-                Pulse pulse = new Pulse(connections)) {
-            CountDownLatch release = ConnectionsTest.occupy(connections, "127.0.0.1:" + engine.getLocalPort());
+                EngineConnectionPool connections = new EngineConnectionPool(EngineConnectionPoolTest.LIMITS, timer);
+                SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections)) {
+            CountDownLatch release = EngineConnectionPoolTest.occupy(connections, "127.0.0.1:" + engine.getLocalPort());
             try {
                 pulse.beat();
                 while (pulse.lag() < 0.2) {
--- a/src/test/java/dunlinladder/wire/ClientConnectionTest.java
+++ b/src/test/java/dunlinladder/transport/http/ClientConnectionTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/dunlinladder/wire/HeadsAndChunksTest.java
+++ b/src/test/java/dunlinladder/transport/http/HeadsAndChunksTest.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -27,8 +27,8 @@
 class HeadsAndChunksTest {
 
     private final Input buffer = new Input();
-    private final HeadParser<HttpRequest> requests =
-            new HeadParser<>(new DefaultHttpRequestParserFactory(Http1Config.DEFAULT).create(), 200, 0);
+    private final MessageHeadParser<HttpRequest> requests =
+            new MessageHeadParser<>(new DefaultHttpRequestParserFactory(Http1Config.DEFAULT).create(), 200, 0);
 
     private static ReadableByteChannel channel(String text) {
         return Channels.newChannel(new ByteArrayInputStream(text.getBytes(StandardCharsets.ISO_8859_1)));
@@ -89,8 +89,8 @@
 
     @Test
     void interimAnswersAreCounted() throws Exception {
-        HeadParser<HttpResponse> answers =
-                new HeadParser<>(new DefaultHttpResponseParserFactory(Http1Config.DEFAULT).create(), 200, 2);
+        MessageHeadParser<HttpResponse> answers =
+                new MessageHeadParser<>(new DefaultHttpResponseParserFactory(Http1Config.DEFAULT).create(), 200, 2);
         for (int code : new int[] {100, 102, 200, 103, 103}) {
             buffer.put("HTTP/1.1 " + code + " x\n\n");
             assertEquals(code, answers.parse(buffer, false).getCode());
@@ -102,7 +102,7 @@
 
     /** Reads a body to its end or to the fault, which is noted as an exclamation mark. */
     private String body(String chunks) {
-        ChunkReader reader = new ChunkReader(channel(chunks.replace('/', '\n')), buffer, 100);
+        ChunkedBodyDecoder reader = new ChunkedBodyDecoder(channel(chunks.replace('/', '\n')), buffer, 100);
         StringBuilder text = new StringBuilder();
         ByteBuffer into = ByteBuffer.allocate(64);
         try {
--- a/src/test/java/dunlinladder/wire/Input.java
+++ b/src/test/java/dunlinladder/transport/http/Input.java
@@ -1,4 +1,4 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/test/java/dunlinladder/wire/ReadersTest.java
+++ b/src/test/java/dunlinladder/transport/http/ReadersTest.java
@@ -1,14 +1,16 @@
-package dunlinladder.wire;
+package dunlinladder.transport.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.core.Decider;
 import dunlinladder.core.Engine;
-import dunlinladder.membership.News;
-import dunlinladder.wire.discovery.HostReader;
+import dunlinladder.core.RequestRouter;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.transport.discovery.EndpointListReader;
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -27,23 +29,23 @@
 
     private static final String HOST = "{'host':'s-1','dial':'127.0.0.1:1','site':'b','class':'m2','block':3,"
             + "'health':'leaving','share':0.5,'born_ms':1500}";
-    private final HostReader reader = new HostReader(List.of("a", "b"), List.of("m1", "m2"));
+    private final EndpointListReader reader = new EndpointListReader(List.of("a", "b"), List.of("m1", "m2"));
 
-    private News read(String message) {
-        return reader.read(Json.parse(message.replace('\'', '"')), false);
+    private EndpointUpdate read(String message) {
+        return reader.read(JsonObject.parse(message.replace('\'', '"')), false);
     }
 
     @Test
     void anEntryIsReadInFull() {
-        News news = read("{'seq':4,'whole':false,'hosts':[" + HOST + "]}");
+        EndpointUpdate news = read("{'seq':4,'whole':false,'hosts':[" + HOST + "]}");
         assertEquals(
-                new News(
+                new EndpointUpdate(
                         4,
-                        Decider.Scope.CHANGES,
+                        RequestRouter.Scope.CHANGES,
                         List.of(new Engine("s-1", "127.0.0.1:1", 1, 1, 3, Engine.State.LEAVING, 0.5, 1.5))),
                 news);
         assertEquals(
-                Decider.Scope.COMPLETE,
+                RequestRouter.Scope.COMPLETE,
                 read("{'seq':4,'whole':true,'hosts':[]}").scope());
     }
 
@@ -58,7 +60,8 @@
             })
     void faultsAreNamed(String part, String instead, String named) {
         String host = HOST.replace(part, instead);
-        BadInput error = assertThrows(BadInput.class, () -> read("{'seq':1,'hosts':[" + host + "]}"));
+        InvalidInputException error =
+                assertThrows(InvalidInputException.class, () -> read("{'seq':1,'hosts':[" + host + "]}"));
         assertTrue(error.getMessage().contains(named), error.getMessage());
     }
 
@@ -80,8 +83,8 @@
                 .map(piece -> (InputStream) new ByteArrayInputStream(piece.getBytes()))
                 .toList();
         AtomicInteger blanks = new AtomicInteger();
-        Json.Values values =
-                new Json.Values(new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
+        JsonObject.Values values = new JsonObject.Values(
+                new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
         for (int i = 0; i < objects; i++) {
             assertEquals(4 + i, values.next().integer("seq"));
         }
@@ -92,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"[1]", "x", "{\"seq\":", "7"})
     void whatIsNotAnObjectIsRefused(String text) throws IOException {
-        Json.Values values = new Json.Values(new ByteArrayInputStream(text.getBytes()), () -> {});
-        assertThrows(BadInput.class, values::next);
+        JsonObject.Values values = new JsonObject.Values(new ByteArrayInputStream(text.getBytes()), () -> {});
+        assertThrows(InvalidInputException.class, values::next);
     }
 }
--- a/src/test/java/dunlinladder/wire/platform/RequestReaderTest.java
+++ b/src/test/java/dunlinladder/transport/platform/PlatformRequestReaderTest.java
@@ -1,12 +1,12 @@
-package dunlinladder.wire.platform;
+package dunlinladder.transport.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinladder.core.Request;
-import dunlinladder.wire.BadInput;
-import dunlinladder.wire.engine.Forward;
+import dunlinladder.transport.engine.EngineRequest;
+import dunlinladder.transport.json.InvalidInputException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The platform's request headers. */
-class RequestReaderTest {
+class PlatformRequestReaderTest {
 
-    private static final Forward FORWARD = new Forward("POST", "/", null, new byte[40]);
-    private final RequestReader reader =
-            new RequestReader(List.of("lookup", "listing"), List.of(4.0, 10.0), List.of("acme", "other"));
+    private static final EngineRequest FORWARD = new EngineRequest("POST", "/", null, new byte[40]);
+    private final PlatformRequestReader reader =
+            new PlatformRequestReader(List.of("lookup", "listing"), List.of(4.0, 10.0), List.of("acme", "other"));
 
     private Request read(String name, String value) {
         Map<String, String> headers = new HashMap<>(Map.of(
@@ -58,14 +58,14 @@
                 expected,
                 r.deadline() + " " + r.promptTokens() + " " + r.maxOut() + " " + r.retry() + " " + r.returned());
         assertEquals("ab12 1 1", r.id() + " " + r.serviceClass() + " " + r.tenant());
-        assertEquals("X-Attrs".equals(header) ? 0 : RequestReader.key("5c"), r.prefix());
+        assertEquals("X-Attrs".equals(header) ? 0 : PlatformRequestReader.key("5c"), r.prefix());
     }
 
     /** Heads are read byte by byte: a name of the settings beyond ASCII comes as the bytes of its UTF-8. */
     @ParameterizedTest
     @CsvSource({"\u00e9t\u00e9", "\u4e16\u754c", "a;b=c", "z'q", "two words"})
     void namesMayHoldAnyCharacters(String name) {
-        RequestReader any = new RequestReader(List.of("first", name), List.of(1.0, 2.0), List.of());
+        PlatformRequestReader any = new PlatformRequestReader(List.of("first", name), List.of(1.0, 2.0), List.of());
         String sent = new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
         Map<String, String> headers = Map.of("X-Request-ID", "ab12", "X-Priority-Class", sent);
         assertEquals(1, any.read(headers::get, FORWARD, 100).serviceClass());
@@ -95,7 +95,7 @@
                 "X-Attrs, max_out=-1"
             })
     void faultsNameTheirHeader(String header, String value) {
-        BadInput error = assertThrows(BadInput.class, () -> read(header, value));
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> read(header, value));
         assertTrue(error.getMessage().contains(header), error.getMessage());
     }
 }
--- a/src/test/java/dunlinladder/wire/sim/HostTest.java
+++ b/src/test/java/dunlinladder/transport/simulator/SimulatorHostTest.java
@@ -1,18 +1,18 @@
-package dunlinladder.wire.sim;
+package dunlinladder.transport.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.wire.BadInput;
+import dunlinladder.transport.json.InvalidInputException;
 import java.io.BufferedReader;
 import java.io.StringReader;
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
 /** The adapter on hand-written batches. */
-class HostTest {
+class SimulatorHostTest {
 
     private static final String INFO = "{\"balancers\":1,\"zone\":0,\"new-key\":{\"x\":[1]},"
             + "\"classes\":[{\"objective\":1,\"semantics\":\"safe\",\"group\":\"all\",\"stream\":true}],"
@@ -37,12 +37,12 @@
 
     private static String run(String input) throws Exception {
         StringWriter out = new StringWriter();
-        new Host(new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorHost(new BufferedReader(new StringReader(input)), out).run();
         return out.toString();
     }
 
     private static String message(String input) {
-        return assertThrows(BadInput.class, () -> run(input)).getMessage();
+        return assertThrows(InvalidInputException.class, () -> run(input)).getMessage();
     }
 
     @Test
