--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build: the program; test: unit and integration tests; lint: style; format: sources; run: one gateway from RELAY_CONFIG.
+# build: the program; test: unit and integration tests; lint: format, style, faults the compiler can find; format: sources; run: one gateway from RELAY_CONFIG.
 .PHONY: build test lint format run docs demo conformance bench soak regress site-files clean
 
 build:
@@ -6,10 +6,10 @@
 	sh deploy/archive.sh
 
 test:
-	mvn -B -ntp verify
+	mvn -B -ntp -Plint verify
 
 lint:
-	mvn -q -DskipTests verify
+	mvn -q -B -ntp -Plint test-compile spotless:check checkstyle:check
 
 # Formats the sources; lint and test check that nothing is left to format.
 format:
--- a/src/main/java/dunlinladder/apiformat/ParameterCodec.java
+++ b/src/main/java/dunlinladder/apiformat/ParameterCodec.java
@@ -142,8 +142,8 @@
             "an object whose type is text, json_object or json_schema",
             ParameterCodec::isFormat,
             node -> node.has("json_schema")
-                    ? ((ObjectNode) JSON.objectNode().put("type", "json_schema"))
-                            .setAll((ObjectNode) node.get("json_schema").deepCopy())
+                    ? JSON.objectNode().put("type", "json_schema").setAll((ObjectNode)
+                            node.get("json_schema").deepCopy())
                     : node,
             node -> node.path("type").asText().equals("json_schema")
                     ? JSON.objectNode()
--- a/src/main/java/dunlinladder/apiformat/ReplyDecoder.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyDecoder.java
@@ -341,8 +341,8 @@
                 ArrayNode top = token.putArray("top_logprobs");
                 logprobs.path("top_logprobs")
                         .path(i)
-                        .fields()
-                        .forEachRemaining(each -> top.addObject()
+                        .properties()
+                        .forEach(each -> top.addObject()
                                 .put("token", each.getKey())
                                 .put("logprob", each.getValue().asDouble())
                                 .putNull("bytes"));
--- a/src/main/java/dunlinladder/apiformat/RequestTranslator.java
+++ b/src/main/java/dunlinladder/apiformat/RequestTranslator.java
@@ -44,7 +44,7 @@
      * Reads a request.
      *
      * @param warnings gets a line for each field that is left out
-     * @throws Untranslatable where a field is malformed, or unknown and refused
+     * @throws UntranslatableRequestException where a field is malformed, or unknown and refused
      */
     public static Conversation read(ApiFormat from, JsonNode body, Unknown unknown, List<String> warnings) {
         if (body == null || !body.isObject()) {
@@ -53,7 +53,7 @@
         Map<RequestParameter, JsonNode> settings = new EnumMap<>(RequestParameter.class);
         Map<String, JsonNode> others = new LinkedHashMap<>();
         boolean[] legacy = {body.has("functions") && !body.has("tools")};
-        body.fields().forEachRemaining(entry -> {
+        body.properties().forEach(entry -> {
             String name = entry.getKey();
             JsonNode value = entry.getValue();
             FieldTable.Field field = FieldTable.find(from, name);
@@ -68,7 +68,7 @@
                 if (!value.isObject()) {
                     throw UntranslatableRequestException.malformed(name, "must be an object");
                 }
-                value.fields().forEachRemaining(inner -> {
+                value.properties().forEach(inner -> {
                     FieldTable.Field nested = FieldTable.find(from, name + "." + inner.getKey());
                     if (nested != null && !inner.getValue().isNull()) {
                         take(nested, inner.getValue(), settings);
@@ -121,7 +121,7 @@
      *
      * @param mostOutput the bound on the answer, in tokens, where the client gives none and the format needs one
      * @param warnings gets a line for each field that is left out
-     * @throws Untranslatable naming the client's field that the format lacks
+     * @throws UntranslatableRequestException naming the client's field that the format lacks
      */
     public static ObjectNode write(ApiFormat to, Conversation talk, long mostOutput, List<String> warnings) {
         TranslationTable table = TranslationTable.of(talk.from(), to);
--- a/src/main/java/dunlinladder/lifecycle/PlanCommands.java
+++ b/src/main/java/dunlinladder/lifecycle/PlanCommands.java
@@ -74,6 +74,7 @@
      * Applies a file, or a saved plan unless the state has changed since it was made. The state is replaced in one step
      * and under a lock, so that two applies cannot mix and a crash leaves the old one.
      */
+    @SuppressWarnings("try") // The lock is held, not looked at.
     void apply(Path file) throws IOException {
         boolean saved = Files.readString(file).stripLeading().startsWith("{");
         if (state.toAbsolutePath().getParent() != null) {
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -317,6 +317,7 @@
                 "A|",
                 ""
             })
+    @SuppressWarnings("try") // A good request stays open beside the bad one and is not looked at.
     void whatCannotBeReadEndsItsConnection(String rest) throws Exception {
         String hidden = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                 + Running.headers(Running.freshId(), "lookup", "4.0") + "Content-Length: 6\r\n\r\nhidden";
@@ -374,6 +375,7 @@
     }
 
     @Test
+    @SuppressWarnings("try") // The second client goes before the first one is served.
     void anIdThatIsOpenIsRefusedAndTheFirstUnharmed() throws Exception {
         try (Browser first = running.post(id, "listing", "9.0", "cut later");
                 Browser second = new Browser(running.port)) {
