--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -102,7 +102,7 @@
         known = known(config);
         watch = new EndpointWatcher(
                 hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
-        gate.setUnreadUpdateCheck(watch::unread);
+        gate.setUnreadUpdateCheck(watch::hasUnreadUpdate);
         servers = chat == null ? List.of(server) : List.of(server, chat);
         timer.scheduleWithFixedDelay(() -> servers.forEach(HttpListener::sweep), 100, 100, TimeUnit.MILLISECONDS);
         timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
@@ -183,7 +183,7 @@
     void whileDiscoveryIsLost(Runnable look) {
         timer.scheduleWithFixedDelay(
                 () -> {
-                    if (watch.failing()) {
+                    if (watch.lastCallFailed()) {
                         daemon(look, "configuration").start();
                     }
                 },
--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -85,7 +85,7 @@
      * Whether discovery has written what is not yet read. A send that is about to start waits for it: what is told
      * counts from when it was written, however long the reading thread has to wait for a core.
      */
-    public boolean unread() {
+    public boolean hasUnreadUpdate() {
         for (Link link : open.values()) {
             if (link.unread()) {
                 return true;
@@ -95,7 +95,7 @@
     }
 
     /** Whether the last call to discovery was not answered. */
-    public synchronized boolean failing() {
+    public synchronized boolean lastCallFailed() {
         return state.failed() > 0;
     }
 
