--- a/src/main/java/dunlinladder/membership/WatchStateMachine.java
+++ b/src/main/java/dunlinladder/membership/WatchStateMachine.java
@@ -7,7 +7,7 @@
 /**
  * How a gateway follows the engine list, as a pure function of state, event and time: which links to discovery are
  * open, which news is taken in and in which order, and when to try again. It does no I/O; whoever drives it carries out
- * the {@link Command}s and reports the {@link Event}s.
+ * the {@link WatchCommand}s and reports the {@link WatchEvent}s.
  *
  * <p>What it guards against:
  *
@@ -118,53 +118,6 @@
         }
     }
 
-    /** What happens to a gateway that follows the list. */
-    public sealed interface Event {
-
-        /** Discovery is at this address from now on; also the first event. */
-        record Move(String address) implements Event {}
-
-        /** A link's connection is up and its call is sent. */
-        record Connected(int link) implements Event {}
-
-        /** A link's answer has begun. */
-        record Answered(int link) implements Event {}
-
-        /** A link brought news. */
-        record Told(int link, EndpointUpdate news) implements Event {}
-
-        /** A link brought an empty line. */
-        record Beat(int link) implements Event {}
-
-        /** A link brought what can't be read. */
-        record Unreadable(int link) implements Event {}
-
-        /** News that was to be taken in was not; {@code before} is the version without it. */
-        record NotTaken(long before) implements Event {}
-
-        /** A link never came up, broke or ended. */
-        record Ended(int link) implements Event {}
-
-        /** Time has passed; {@link #wake} says when that matters. */
-        record Tick() implements Event {}
-    }
-
-    /** What is to be done. */
-    public sealed interface Command {
-
-        /** Opens a link to discovery that asks for what came after {@code since}, for all where that is 0. */
-        record Open(int link, String address, long since) implements Command {}
-
-        /** Closes a link; nothing that it still says counts. */
-        record Close(int link) implements Command {}
-
-        /** Takes news in; {@link Event.NotTaken} where that fails. */
-        record Take(EndpointUpdate news, long before) implements Command {}
-    }
-
-    /** The state after an event and what is to be done, in order. */
-    public record Next(WatchStateMachine state, List<Command> commands) {}
-
     /** Copies the links, so that a state never changes. */
     public WatchStateMachine {
         links = List.copyOf(links);
@@ -176,31 +129,31 @@
     }
 
     /** The state after {@code event} at clock time {@code now}, in seconds. */
-    public Next on(Event event, double now) {
+    public WatchOutcome on(WatchEvent event, double now) {
         Step step = new Step(this, now);
-        if (event instanceof Event.Move move) {
-            step.move(move.address);
-        } else if (event instanceof Event.Connected connected) {
-            step.connected(connected.link);
-        } else if (event instanceof Event.Answered answered) {
-            step.heard(answered.link, false);
-        } else if (event instanceof Event.Beat beat) {
-            step.heard(beat.link, true);
-        } else if (event instanceof Event.Told told) {
-            step.told(told.link, told.news);
-        } else if (event instanceof Event.Unreadable unreadable) {
-            step.unreadable(unreadable.link);
-        } else if (event instanceof Event.NotTaken failed) {
-            step.notTaken(failed.before);
-        } else if (event instanceof Event.Ended ended) {
-            step.ended(ended.link);
+        if (event instanceof WatchEvent.AddressChanged move) {
+            step.move(move.address());
+        } else if (event instanceof WatchEvent.Connected connected) {
+            step.connected(connected.connection());
+        } else if (event instanceof WatchEvent.AnswerReceived answered) {
+            step.heard(answered.connection(), false);
+        } else if (event instanceof WatchEvent.Heartbeat beat) {
+            step.heard(beat.connection(), true);
+        } else if (event instanceof WatchEvent.UpdateReceived received) {
+            step.told(received.connection(), received.update());
+        } else if (event instanceof WatchEvent.UnreadableUpdate unreadable) {
+            step.unreadable(unreadable.connection());
+        } else if (event instanceof WatchEvent.UpdateNotApplied failed) {
+            step.notTaken(failed.previousVersion());
+        } else if (event instanceof WatchEvent.Closed ended) {
+            step.ended(ended.connection());
         }
         step.look();
         return step.next();
     }
 
-    /** Clock time of the next {@link Event.Tick} that would do something; infinite when none would. */
-    public double wake() {
+    /** Clock time of the next {@link WatchEvent.Tick} that would do something; infinite when none would. */
+    public double nextDeadline() {
         double wake = address == null ? Double.POSITIVE_INFINITY : openAt(links, address, timing, retryAt, moved);
         for (Link link : links) {
             wake = Math.min(wake, link.until(timing));
@@ -243,7 +196,7 @@
     private static final class Step {
         private final WatchTimeouts timing;
         private final double now;
-        private final List<Command> commands = new ArrayList<>();
+        private final List<WatchCommand> commands = new ArrayList<>();
         private final List<Link> links;
         private String address;
         private long version;
@@ -286,11 +239,11 @@
             }
         }
 
-        Next next() {
-            return new Next(
+        WatchOutcome next() {
+            return new WatchOutcome(
                     new WatchStateMachine(
                             timing, address, version, whole, links, nextId, retryAt, failed, moved, random),
-                    List.copyOf(commands));
+                    commands);
         }
 
         void move(String to) {
@@ -338,7 +291,7 @@
             boolean anew = news.isSnapshot() && link.asked == 0;
             if (news.version() > version || anew) {
                 replace(link.level());
-                commands.add(new Command.Take(news, version));
+                commands.add(new WatchCommand.Apply(news, version));
                 version = news.version();
                 whole &= !news.isSnapshot();
             } else if (news.version() == version) {
@@ -416,7 +369,7 @@
                     Double.NaN,
                     false);
             links.add(link);
-            commands.add(new Command.Open(link.id, link.address, link.asked));
+            commands.add(new WatchCommand.Open(link.id, link.address, link.asked));
         }
 
         private boolean current(Link link) {
@@ -434,7 +387,7 @@
         private void close(Predicate<Link> which) {
             for (Link link : links.stream().filter(which).toList()) {
                 links.remove(link);
-                commands.add(new Command.Close(link.id));
+                commands.add(new WatchCommand.Close(link.id));
             }
         }
     }
--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -2,9 +2,10 @@
 
 import dunlinladder.core.Clock;
 import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.membership.WatchCommand;
+import dunlinladder.membership.WatchEvent;
+import dunlinladder.membership.WatchOutcome;
 import dunlinladder.membership.WatchStateMachine;
-import dunlinladder.membership.WatchStateMachine.Command;
-import dunlinladder.membership.WatchStateMachine.Event;
 import dunlinladder.membership.WatchTimeouts;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
@@ -62,7 +63,7 @@
     public void moveTo(InetSocketAddress next) {
         String address = next.getAddress().getHostAddress() + ":" + next.getPort();
         LOG.info("discovery is at {}", address);
-        on(new Event.Move(address));
+        on(new WatchEvent.AddressChanged(address));
     }
 
     /** Looks at the clock until it is interrupted. */
@@ -70,9 +71,9 @@
     public void run() {
         try {
             while (true) {
-                on(new Event.Tick());
+                on(new WatchEvent.Tick());
                 synchronized (this) {
-                    double left = Math.min(SLEEP_MOST, state.wake() - clock.now());
+                    double left = Math.min(SLEEP_MOST, state.nextDeadline() - clock.now());
                     wait((long) (Math.max(SLEEP_LEAST, left) * 1e3));
                 }
             }
@@ -99,19 +100,19 @@
         return state.failed() > 0;
     }
 
-    private synchronized void on(Event event) {
-        WatchStateMachine.Next next = state.on(event, clock.now());
+    private synchronized void on(WatchEvent event) {
+        WatchOutcome next = state.on(event, clock.now());
         state = next.state();
-        for (Command command : next.commands()) {
-            if (command instanceof Command.Open wanted) {
+        for (WatchCommand command : next.commands()) {
+            if (command instanceof WatchCommand.Open wanted) {
                 new Link(wanted).start();
-            } else if (command instanceof Command.Close close) {
-                Link link = open.remove(close.link());
+            } else if (command instanceof WatchCommand.Close close) {
+                Link link = open.remove(close.connection());
                 if (link != null) {
                     link.close();
                 }
-            } else if (command instanceof Command.Take take && !taken(take.news())) {
-                on(new Event.NotTaken(take.before()));
+            } else if (command instanceof WatchCommand.Apply take && !taken(take.update())) {
+                on(new WatchEvent.UpdateNotApplied(take.previousVersion()));
                 return;
             }
         }
@@ -130,16 +131,16 @@
 
     /** One connection to discovery. */
     private final class Link implements Runnable {
-        private final Command.Open wanted;
+        private final WatchCommand.Open wanted;
         private final Socket socket = new Socket();
 
-        Link(Command.Open wanted) {
+        Link(WatchCommand.Open wanted) {
             this.wanted = wanted;
         }
 
         void start() {
-            open.put(wanted.link(), this);
-            Thread thread = new Thread(this, "discovery-" + wanted.link());
+            open.put(wanted.connection(), this);
+            Thread thread = new Thread(this, "discovery-" + wanted.connection());
             thread.setDaemon(true);
             thread.start();
         }
@@ -164,12 +165,12 @@
 
         @Override
         public void run() {
-            Event end = new Event.Ended(wanted.link());
+            WatchEvent end = new WatchEvent.Closed(wanted.connection());
             try {
                 follow();
                 LOG.info("discovery at {} ended its watch", wanted.address());
             } catch (IOException | HttpException e) {
-                if (open.get(wanted.link()) == this) {
+                if (open.get(wanted.connection()) == this) {
                     LOG.warn("discovery at {}: {}", wanted.address(), e.toString());
                 }
             } catch (InvalidInputException e) {
@@ -177,13 +178,13 @@
                         "discovery at {} sent what can't be read, the whole list is asked for: {}",
                         wanted.address(),
                         e.getMessage());
-                end = new Event.Unreadable(wanted.link());
+                end = new WatchEvent.UnreadableUpdate(wanted.connection());
             } catch (RuntimeException | OutOfMemoryError e) {
                 // This thread must not end in silence: without its link the list would stand still for good.
                 LOG.error("discovery at {}", wanted.address(), e);
-                end = new Event.Unreadable(wanted.link());
+                end = new WatchEvent.UnreadableUpdate(wanted.connection());
             } finally {
-                open.remove(wanted.link(), this);
+                open.remove(wanted.connection(), this);
                 close();
                 on(end);
             }
@@ -204,17 +205,17 @@
                 request.setHeader("Host", wanted.address());
                 connection.sendRequestHeader(request);
                 connection.flush();
-                on(new Event.Connected(wanted.link()));
+                on(new WatchEvent.Connected(wanted.connection()));
                 ClassicHttpResponse response = connection.receiveResponseHeader();
                 if (response.getCode() != 200) {
                     throw new IOException("status " + response.getCode());
                 }
-                on(new Event.Answered(wanted.link()));
+                on(new WatchEvent.AnswerReceived(wanted.connection()));
                 connection.receiveResponseEntity(response);
                 JsonObject.Values lists = new JsonObject.Values(
-                        response.getEntity().getContent(), () -> on(new Event.Beat(wanted.link())));
+                        response.getEntity().getContent(), () -> on(new WatchEvent.Heartbeat(wanted.connection())));
                 for (JsonObject list = lists.next(); list != null; list = lists.next()) {
-                    on(new Event.Told(wanted.link(), reader.read(list, false)));
+                    on(new WatchEvent.UpdateReceived(wanted.connection(), reader.read(list, false)));
                 }
             }
         }
--- a/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
+++ b/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
@@ -4,8 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinladder.core.RequestRouter;
-import dunlinladder.membership.WatchStateMachine.Command;
-import dunlinladder.membership.WatchStateMachine.Event;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
@@ -31,7 +29,7 @@
 
     private static final EndpointUpdate CHANGE = new EndpointUpdate(42, RequestRouter.Scope.CHANGES, List.of());
 
-    private record Due(double at, long number, Event event) {}
+    private record Due(double at, long number, WatchEvent event) {}
 
     private Random random;
     private WatchStateMachine state;
@@ -44,17 +42,17 @@
     private double most;
     private double takenAt;
 
-    private void in(double delay, Event event) {
+    private void in(double delay, WatchEvent event) {
         queue.add(new Due(now + delay, number++, event));
     }
 
-    private void on(Event event) {
-        WatchStateMachine.Next next = state.on(event, now);
+    private void on(WatchEvent event) {
+        WatchOutcome next = state.on(event, now);
         state = next.state();
-        for (Command command : next.commands()) {
-            if (command instanceof Command.Open open) {
-                called(open.link());
-            } else if (command instanceof Command.Take) {
+        for (WatchCommand command : next.commands()) {
+            if (command instanceof WatchCommand.Open open) {
+                called(open.connection());
+            } else if (command instanceof WatchCommand.Apply) {
                 takenAt = now;
             }
         }
@@ -67,24 +65,24 @@
         mayLoseOne &= !lost;
         int fate = lost ? 1 + random.nextInt(2) : well ? 5 : random.nextInt(6);
         if (fate == 0) {
-            in(0.001, new Event.Ended(link));
+            in(0.001, new WatchEvent.Closed(link));
         } else if (fate == 1) {
-            in(0.001, new Event.Connected(link));
+            in(0.001, new WatchEvent.Connected(link));
         } else if (fate == 3) {
-            in(0.001, new Event.Connected(link));
-            in(random.nextDouble() * 3, new Event.Ended(link));
+            in(0.001, new WatchEvent.Connected(link));
+            in(random.nextDouble() * 3, new WatchEvent.Closed(link));
         } else if (fate > 3) {
             double delay = random.nextDouble() * most;
-            in(0, new Event.Connected(link));
-            in(delay, new Event.Answered(link));
-            in(delay, well ? new Event.Told(link, CHANGE) : new Event.Beat(link));
+            in(0, new WatchEvent.Connected(link));
+            in(delay, new WatchEvent.AnswerReceived(link));
+            in(delay, well ? new WatchEvent.UpdateReceived(link, CHANGE) : new WatchEvent.Heartbeat(link));
             if (!well) {
                 double lasts = delay + random.nextDouble() * 8;
                 for (double beat = delay + 2; beat < lasts; beat += 2) {
-                    in(beat, new Event.Beat(link));
+                    in(beat, new WatchEvent.Heartbeat(link));
                 }
                 if (fate == 4) {
-                    in(lasts, new Event.Ended(link));
+                    in(lasts, new WatchEvent.Closed(link));
                     live.add(link);
                 } else if (now + lasts > changedAt && random.nextBoolean()) {
                     // Else it says nothing of the change: it falls silent at that moment at the latest.
@@ -97,14 +95,14 @@
 
     private void play(double until) {
         while (takenAt < 0) {
-            double wake = Math.max(now + 1e-6, state.wake());
+            double wake = Math.max(now + 1e-6, state.nextDeadline());
             double at = queue.isEmpty() ? wake : Math.min(wake, queue.peek().at);
             if (at > until) {
                 now = until;
                 return;
             }
             now = Math.max(now, at);
-            on(!queue.isEmpty() && queue.peek().at <= at ? queue.poll().event : new Event.Tick());
+            on(!queue.isEmpty() && queue.peek().at <= at ? queue.poll().event : new WatchEvent.Tick());
         }
     }
 
@@ -122,9 +120,9 @@
         // An agent on this machine answers at once.
         most = pushed ? 0.001 : 1;
         changedAt = 1 + random.nextDouble() * 30;
-        on(new Event.Move("a:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
         if (random.nextInt(3) == 0) {
-            in(changedAt - random.nextDouble(), new Event.Move("b:1"));
+            in(changedAt - random.nextDouble(), new WatchEvent.AddressChanged("b:1"));
         }
         play(changedAt);
         now = changedAt;
@@ -134,13 +132,13 @@
             watched |= link.answered();
             waits |= !link.answered() && !link.overdue();
             if (live.contains(link.id()) && link.answered()) {
-                in(0, new Event.Told(link.id(), CHANGE));
+                in(0, new WatchEvent.UpdateReceived(link.id(), CHANGE));
             }
         }
         // What is told by a watch that still stands ends with it; of calls that are out no answer comes.
-        queue.removeIf(due -> !(due.event instanceof Event.Told
-                || due.event instanceof Event.Move
-                || due.event instanceof Event.Ended));
+        queue.removeIf(due -> !(due.event instanceof WatchEvent.UpdateReceived
+                || due.event instanceof WatchEvent.AddressChanged
+                || due.event instanceof WatchEvent.Closed));
         mayLoseOne = !waits && !pushed;
         double within = pushed && !watched ? PUSHED_SHARE * stop : ASKED_WITHIN;
         play(changedAt + 60);
--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dunlinladder.core.RequestRouter;
-import dunlinladder.membership.WatchStateMachine.Command;
-import dunlinladder.membership.WatchStateMachine.Event;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -30,7 +28,7 @@
     private static final int STEPS = 6000;
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
 
-    private record Due(double at, long number, Event event) {}
+    private record Due(double at, long number, WatchEvent event) {}
 
     private final StringBuilder trace = new StringBuilder();
     private final PriorityQueue<Due> queue =
@@ -74,14 +72,14 @@
     }
 
     /** The canonical text of a command; the digests hold as long as this writes the same. */
-    private static String text(Command command) {
-        if (command instanceof Command.Open open) {
-            return "open|" + open.link() + "|" + open.address() + "|" + open.since();
-        } else if (command instanceof Command.Close close) {
-            return "close|" + close.link();
+    private static String text(WatchCommand command) {
+        if (command instanceof WatchCommand.Open open) {
+            return "open|" + open.connection() + "|" + open.address() + "|" + open.since();
+        } else if (command instanceof WatchCommand.Close close) {
+            return "close|" + close.connection();
         }
-        Command.Take take = (Command.Take) command;
-        return "take|" + take.news().version() + "|" + take.news().isSnapshot() + "|" + take.before();
+        WatchCommand.Apply take = (WatchCommand.Apply) command;
+        return "take|" + take.update().version() + "|" + take.update().isSnapshot() + "|" + take.previousVersion();
     }
 
     /** The canonical text of a step: when it is over, and when the next one is wanted. */
@@ -107,20 +105,20 @@
         version = 41;
         now = 0;
         queue.clear();
-        on(new Event.Tick());
-        in(0.5, new Event.Move("a:1"));
+        on(new WatchEvent.Tick());
+        in(0.5, new WatchEvent.AddressChanged("a:1"));
         for (double at = 9; at < 3000; at += 2 + 20 * random.nextDouble()) {
-            in(at, new Event.Move(ADDRESSES.get(random.nextInt(ADDRESSES.size()))));
+            in(at, new WatchEvent.AddressChanged(ADDRESSES.get(random.nextInt(ADDRESSES.size()))));
         }
         for (int i = 0; i < STEPS; i++) {
-            double wake = Math.max(now + 1e-6, state.wake());
+            double wake = Math.max(now + 1e-6, state.nextDeadline());
             Due due = !queue.isEmpty() && queue.peek().at <= wake ? queue.poll() : null;
             now = Math.max(now, due == null ? wake : due.at);
-            on(due == null ? new Event.Tick() : due.event);
+            on(due == null ? new WatchEvent.Tick() : due.event);
         }
     }
 
-    private void in(double delay, Event event) {
+    private void in(double delay, WatchEvent event) {
         queue.add(new Due(now + delay, number++, event));
     }
 
@@ -128,20 +126,20 @@
         return random.nextDouble() < share;
     }
 
-    private void on(Event event) {
-        WatchStateMachine.Next next = state.on(event, now);
+    private void on(WatchEvent event) {
+        WatchOutcome next = state.on(event, now);
         state = next.state();
-        List<Event> after = new ArrayList<>();
-        for (Command command : next.commands()) {
+        List<WatchEvent> after = new ArrayList<>();
+        for (WatchCommand command : next.commands()) {
             commands++;
             trace.append(text(command)).append('\n');
-            if (command instanceof Command.Open open) {
-                called(open.link(), open.since());
-            } else if (command instanceof Command.Take take && chance(0.04)) {
-                after.add(new Event.NotTaken(take.before()));
+            if (command instanceof WatchCommand.Open open) {
+                called(open.connection(), open.since());
+            } else if (command instanceof WatchCommand.Apply take && chance(0.04)) {
+                after.add(new WatchEvent.UpdateNotApplied(take.previousVersion()));
             }
         }
-        step(state.wake());
+        step(state.nextDeadline());
         after.forEach(this::on);
     }
 
@@ -150,35 +148,39 @@
         boolean outage = now % 100 > 80;
         int fate = random.nextInt(outage ? 5 : 12);
         if (fate == 0) {
-            in(0.001, new Event.Ended(link));
+            in(0.001, new WatchEvent.Closed(link));
         } else if (fate == 1) {
-            in(random.nextDouble(), new Event.Connected(link));
+            in(random.nextDouble(), new WatchEvent.Connected(link));
         } else if (fate == 2) {
-            in(0.002, new Event.Connected(link));
-            in(random.nextDouble() * 8, new Event.Ended(link));
+            in(0.002, new WatchEvent.Connected(link));
+            in(random.nextDouble() * 8, new WatchEvent.Closed(link));
         } else if (fate > 3) {
-            in(0.003, new Event.Connected(link));
+            in(0.003, new WatchEvent.Connected(link));
             watch(link, since, random.nextDouble() * (fate == 4 ? 7 : 0.3));
         }
         // Else it never comes up.
     }
 
     private void watch(int link, long since, double delay) {
-        in(delay, new Event.Answered(link));
+        in(delay, new WatchEvent.AnswerReceived(link));
         double at = delay + random.nextDouble() * 0.1;
         double lasts = delay + random.nextDouble() * 40;
         if (since == 0 || chance(0.1)) {
-            in(at, new Event.Told(link, news(true)));
+            in(at, new WatchEvent.UpdateReceived(link, news(true)));
         }
         while (at < lasts) {
             if (chance(0.02)) {
-                in(at, new Event.Unreadable(link));
+                in(at, new WatchEvent.UnreadableUpdate(link));
             }
-            in(at, chance(0.5) ? new Event.Beat(link) : new Event.Told(link, news(chance(0.15))));
+            in(
+                    at,
+                    chance(0.5)
+                            ? new WatchEvent.Heartbeat(link)
+                            : new WatchEvent.UpdateReceived(link, news(chance(0.15))));
             at += chance(0.05) ? 4 : 0.2 + 2 * random.nextDouble();
         }
         if (chance(0.7)) {
-            in(lasts, new Event.Ended(link));
+            in(lasts, new WatchEvent.Closed(link));
         }
         // Else it falls silent.
     }
--- a/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
+++ b/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
@@ -6,8 +6,6 @@
 
 import dunlinladder.core.Engine;
 import dunlinladder.core.RequestRouter;
-import dunlinladder.membership.WatchStateMachine.Command;
-import dunlinladder.membership.WatchStateMachine.Event;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -21,12 +19,12 @@
 
     private static final WatchTimeouts TIMING = new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
 
-    private final List<Command> done = new ArrayList<>();
+    private final List<WatchCommand> done = new ArrayList<>();
     private WatchStateMachine state = WatchStateMachine.from(TIMING, 41, 7);
     private double now;
 
-    private void on(Event event) {
-        WatchStateMachine.Next next = state.on(event, now);
+    private void on(WatchEvent event) {
+        WatchOutcome next = state.on(event, now);
         state = next.state();
         done.addAll(next.commands());
     }
@@ -34,16 +32,16 @@
     /** Lets time pass, waking when the state asks to. */
     private void pass(double seconds) {
         double end = now + seconds;
-        while (state.wake() < end) {
-            now = Math.max(now + 0.01, state.wake());
-            on(new Event.Tick());
+        while (state.nextDeadline() < end) {
+            now = Math.max(now + 0.01, state.nextDeadline());
+            on(new WatchEvent.Tick());
         }
         now = end;
-        on(new Event.Tick());
+        on(new WatchEvent.Tick());
     }
 
-    private List<Command> taken() {
-        return done.stream().filter(c -> c instanceof Command.Take).toList();
+    private List<WatchCommand> taken() {
+        return done.stream().filter(c -> c instanceof WatchCommand.Apply).toList();
     }
 
     private static EndpointUpdate changes(long version, String... engines) {
@@ -63,55 +61,55 @@
                         .toList());
     }
 
-    private void assertDone(Command... expected) {
+    private void assertDone(WatchCommand... expected) {
         assertEquals(List.of(expected), done);
         done.clear();
     }
 
     @Test
     void newsInTheMidstOfAMoveComesByTheOldLink() {
-        on(new Event.Move("a:1"));
-        assertDone(new Command.Open(0, "a:1", 41));
-        on(new Event.Answered(0));
-        on(new Event.Beat(0));
-        on(new Event.Move("b:1"));
-        assertDone(new Command.Open(1, "b:1", 41));
+        on(new WatchEvent.AddressChanged("a:1"));
+        assertDone(new WatchCommand.Open(0, "a:1", 41));
+        on(new WatchEvent.AnswerReceived(0));
+        on(new WatchEvent.Heartbeat(0));
+        on(new WatchEvent.AddressChanged("b:1"));
+        assertDone(new WatchCommand.Open(1, "b:1", 41));
         EndpointUpdate drain = changes(42, "x=LEAVING");
-        on(new Event.Told(0, drain));
-        assertDone(new Command.Take(drain, 41));
+        on(new WatchEvent.UpdateReceived(0, drain));
+        assertDone(new WatchCommand.Apply(drain, 41));
         // The new link asked before that news: it tells it again, and then is the only one.
-        on(new Event.Answered(1));
-        on(new Event.Told(1, changes(42, "x=LEAVING")));
-        assertDone(new Command.Close(0));
-        on(new Event.Told(0, changes(43, "x=ACTIVE")));
+        on(new WatchEvent.AnswerReceived(1));
+        on(new WatchEvent.UpdateReceived(1, changes(42, "x=LEAVING")));
+        assertDone(new WatchCommand.Close(0));
+        on(new WatchEvent.UpdateReceived(0, changes(43, "x=ACTIVE")));
         assertDone();
     }
 
     @Test
     void aHungNewAddressIsRacedAndTheOldLinkStillHeard() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
-        on(new Event.Move("b:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
+        on(new WatchEvent.AddressChanged("b:1"));
         done.clear();
         pass(0.35);
-        assertDone(new Command.Open(2, "b:1", 41));
+        assertDone(new WatchCommand.Open(2, "b:1", 41));
         pass(0.3);
-        assertDone(new Command.Open(3, "b:1", 41));
-        on(new Event.Told(0, changes(42, "x=LEAVING")));
+        assertDone(new WatchCommand.Open(3, "b:1", 41));
+        on(new WatchEvent.UpdateReceived(0, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         done.clear();
-        on(new Event.Answered(2));
-        assertDone(new Command.Close(1), new Command.Close(3));
-        on(new Event.Beat(2));
-        assertDone(new Command.Close(0));
+        on(new WatchEvent.AnswerReceived(2));
+        assertDone(new WatchCommand.Close(1), new WatchCommand.Close(3));
+        on(new WatchEvent.Heartbeat(2));
+        assertDone(new WatchCommand.Close(0));
     }
 
     @Test
     void hangsThatFollowEachOtherNeverStopTheTrying() {
-        on(new Event.Move("a:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
         for (int i = 0; i < 10; i++) {
             pass(6.1);
-            assertTrue(done.stream().anyMatch(c -> c instanceof Command.Open), "in round " + i);
+            assertTrue(done.stream().anyMatch(c -> c instanceof WatchCommand.Open), "in round " + i);
             assertTrue(state.links().size() <= 3);
             done.clear();
         }
@@ -119,85 +117,85 @@
 
     @Test
     void whatIsOlderThanWhatIsHeldIsLeftAside() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
-        on(new Event.Told(0, changes(43, "x=LEAVING")));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
+        on(new WatchEvent.UpdateReceived(0, changes(43, "x=LEAVING")));
         done.clear();
-        on(new Event.Told(0, whole(42, "x=ACTIVE")));
-        on(new Event.Told(0, changes(43, "x=ACTIVE")));
+        on(new WatchEvent.UpdateReceived(0, whole(42, "x=ACTIVE")));
+        on(new WatchEvent.UpdateReceived(0, changes(43, "x=ACTIVE")));
         assertDone();
-        on(new Event.Told(0, changes(44, "y=LEFT")));
+        on(new WatchEvent.UpdateReceived(0, changes(44, "y=LEFT")));
         assertEquals(1, taken().size());
         assertEquals(44, state.version());
     }
 
     @Test
     void aDiscoveryThatCountsAnewIsAskedForAllAfterAWhile() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
         done.clear();
-        on(new Event.Told(0, whole(3, "x=ACTIVE")));
+        on(new WatchEvent.UpdateReceived(0, whole(3, "x=ACTIVE")));
         assertDone();
         for (int i = 0; i < 5; i++) {
             pass(2);
-            on(new Event.Beat(0));
+            on(new WatchEvent.Heartbeat(0));
         }
         pass(0.1);
-        assertDone(new Command.Close(0), new Command.Open(1, "a:1", 0));
-        on(new Event.Answered(1));
+        assertDone(new WatchCommand.Close(0), new WatchCommand.Open(1, "a:1", 0));
+        on(new WatchEvent.AnswerReceived(1));
         EndpointUpdate all = whole(4, "x=ACTIVE");
-        on(new Event.Told(1, all));
-        assertDone(new Command.Take(all, 41));
-        on(new Event.Told(1, changes(5, "x=LEAVING")));
+        on(new WatchEvent.UpdateReceived(1, all));
+        assertDone(new WatchCommand.Apply(all, 41));
+        on(new WatchEvent.UpdateReceived(1, changes(5, "x=LEAVING")));
         assertEquals(5, state.version());
     }
 
     @Test
     void aBadLineAsksForAllAndTheNextGoodOneIsTaken() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
         done.clear();
-        on(new Event.Unreadable(0));
-        assertDone(new Command.Close(0));
+        on(new WatchEvent.UnreadableUpdate(0));
+        assertDone(new WatchCommand.Close(0));
         pass(0.45);
-        assertDone(new Command.Open(1, "a:1", 0));
+        assertDone(new WatchCommand.Open(1, "a:1", 0));
         EndpointUpdate all = whole(41, "x=LEAVING");
-        on(new Event.Told(1, all));
-        assertDone(new Command.Take(all, 41));
-        on(new Event.Ended(1));
+        on(new WatchEvent.UpdateReceived(1, all));
+        assertDone(new WatchCommand.Apply(all, 41));
+        on(new WatchEvent.Closed(1));
         pass(0.25);
-        assertDone(new Command.Open(2, "a:1", 41));
+        assertDone(new WatchCommand.Open(2, "a:1", 41));
     }
 
     @Test
     void newsThatWasNotTakenInIsAskedForAgain() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
-        on(new Event.Told(0, changes(42, "x=LEAVING")));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
+        on(new WatchEvent.UpdateReceived(0, changes(42, "x=LEAVING")));
         assertEquals(42, state.version());
         done.clear();
-        on(new Event.NotTaken(41));
+        on(new WatchEvent.UpdateNotApplied(41));
         assertEquals(41, state.version());
         pass(0.45);
-        assertDone(new Command.Close(0), new Command.Open(1, "a:1", 0));
+        assertDone(new WatchCommand.Close(0), new WatchCommand.Open(1, "a:1", 0));
     }
 
     @Test
     void aSilentLinkStaysUntilAnotherAnswers() {
-        on(new Event.Move("a:1"));
-        on(new Event.Answered(0));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.AnswerReceived(0));
         done.clear();
         pass(2.4);
         assertDone();
         while (done.isEmpty() && now < 3) {
             pass(0.1);
         }
-        assertDone(new Command.Open(1, "a:1", 41));
-        on(new Event.Told(0, changes(42, "x=LEAVING")));
+        assertDone(new WatchCommand.Open(1, "a:1", 41));
+        on(new WatchEvent.UpdateReceived(0, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         done.clear();
-        on(new Event.Answered(1));
-        assertDone(new Command.Close(0));
+        on(new WatchEvent.AnswerReceived(1));
+        assertDone(new WatchCommand.Close(0));
     }
 
     /** What a silent watch misses counts as told 6 s later, also where the next call is lost too. */
@@ -205,17 +203,17 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void aSilentWatchIsReplacedInTimeThoughACallIsLostToo(long seed) {
         state = WatchStateMachine.from(TIMING, 41, seed);
-        on(new Event.Move("a:1"));
-        on(new Event.Connected(0));
-        on(new Event.Answered(0));
-        on(new Event.Beat(0));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.Connected(0));
+        on(new WatchEvent.AnswerReceived(0));
+        on(new WatchEvent.Heartbeat(0));
         pass(3);
-        on(new Event.Connected(1));
+        on(new WatchEvent.Connected(1));
         pass(1);
         done.clear();
-        on(new Event.Connected(2));
-        on(new Event.Answered(2));
-        on(new Event.Told(2, changes(42, "x=LEAVING")));
+        on(new WatchEvent.Connected(2));
+        on(new WatchEvent.AnswerReceived(2));
+        on(new WatchEvent.UpdateReceived(2, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         assertEquals(1, state.links().size());
         assertTrue(now <= 4);
@@ -226,9 +224,9 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void anOutageFindsACallThatWaitsAtItsEnd(long seed) {
         state = WatchStateMachine.from(TIMING, 41, seed);
-        on(new Event.Move("a:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
         while (now < 60) {
-            state.links().stream().filter(link -> !link.up()).forEach(link -> on(new Event.Connected(link.id())));
+            state.links().stream().filter(link -> !link.up()).forEach(link -> on(new WatchEvent.Connected(link.id())));
             pass(0.05);
             assertFalse(state.links().isEmpty(), "none at " + now);
         }
@@ -238,7 +236,7 @@
         }
         int waited = state.links().get(0).id();
         done.clear();
-        on(new Event.Told(waited, changes(42, "x=LEAVING")));
+        on(new WatchEvent.UpdateReceived(waited, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         pass(1);
         assertEquals(
@@ -248,39 +246,39 @@
 
     @Test
     void aRefusedAddressIsAskedAgainAfterAPauseOnly() {
-        on(new Event.Move("a:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
         done.clear();
-        on(new Event.Ended(0));
+        on(new WatchEvent.Closed(0));
         assertDone();
         pass(0.45);
-        assertDone(new Command.Open(1, "a:1", 41));
+        assertDone(new WatchCommand.Open(1, "a:1", 41));
     }
 
     @Test
     void aCallThatWaitsItsTurnIsNotMadeTwice() {
-        on(new Event.Move("a:1"));
-        on(new Event.Connected(0));
+        on(new WatchEvent.AddressChanged("a:1"));
+        on(new WatchEvent.Connected(0));
         done.clear();
         pass(2.9);
         assertDone();
         pass(0.6);
-        assertDone(new Command.Close(0), new Command.Open(1, "a:1", 41));
+        assertDone(new WatchCommand.Close(0), new WatchCommand.Open(1, "a:1", 41));
     }
 
     @Test
     void pausesGrowWithCallsThatAreNotAnsweredUpToABound() {
-        on(new Event.Move("a:1"));
+        on(new WatchEvent.AddressChanged("a:1"));
         for (int round = 0; round < 60; round++) {
             done.clear();
-            state.links().forEach(link -> on(new Event.Ended(link.id())));
+            state.links().forEach(link -> on(new WatchEvent.Closed(link.id())));
             double pause = state.retryAt() - now;
             assertTrue(pause <= Math.min(4, 0.4 * Math.pow(2, round)), "round " + round + ": " + pause);
             pass(pause + 0.01);
             assertEquals(1, done.size());
         }
-        on(new Event.Answered(state.links().get(0).id()));
-        on(new Event.Beat(state.links().get(0).id()));
-        on(new Event.Ended(state.links().get(0).id()));
+        on(new WatchEvent.AnswerReceived(state.links().get(0).id()));
+        on(new WatchEvent.Heartbeat(state.links().get(0).id()));
+        on(new WatchEvent.Closed(state.links().get(0).id()));
         assertTrue(state.retryAt() - now <= 0.2);
     }
 
@@ -295,12 +293,12 @@
         List<double[]> queue = new ArrayList<>();
         for (int g = 0; g < 14; g++) {
             fleet.add(WatchStateMachine.from(TIMING, 41, seed * 1_000_003 + g * 7919));
-            overbooked(fleet, queue, g, new Event.Move("a:1"), 0);
+            overbooked(fleet, queue, g, new WatchEvent.AddressChanged("a:1"), 0);
         }
         double free = 0;
         for (double at = 0; at < 20; at += 0.01) {
             for (int g = 0; g < fleet.size(); g++) {
-                overbooked(fleet, queue, g, new Event.Tick(), at);
+                overbooked(fleet, queue, g, new WatchEvent.Tick(), at);
             }
             while (!queue.isEmpty() && free <= at) {
                 double[] call = queue.remove(0);
@@ -310,14 +308,14 @@
                         fleet,
                         queue,
                         (int) call[0],
-                        late ? new Event.Ended((int) call[1]) : new Event.Answered((int) call[1]),
+                        late ? new WatchEvent.Closed((int) call[1]) : new WatchEvent.AnswerReceived((int) call[1]),
                         at);
-                overbooked(fleet, queue, (int) call[0], new Event.Beat((int) call[1]), at);
+                overbooked(fleet, queue, (int) call[0], new WatchEvent.Heartbeat((int) call[1]), at);
             }
             for (int g = 0; g < fleet.size(); g++) {
                 for (WatchStateMachine.Link link : fleet.get(g).links()) {
                     if (link.answered()) {
-                        overbooked(fleet, queue, g, new Event.Beat(link.id()), at);
+                        overbooked(fleet, queue, g, new WatchEvent.Heartbeat(link.id()), at);
                     }
                 }
             }
@@ -325,13 +323,14 @@
         assertTrue(fleet.stream().allMatch(f -> f.links().stream().anyMatch(WatchStateMachine.Link::answered)));
     }
 
-    private static void overbooked(List<WatchStateMachine> fleet, List<double[]> queue, int g, Event event, double at) {
-        WatchStateMachine.Next next = fleet.get(g).on(event, at);
+    private static void overbooked(
+            List<WatchStateMachine> fleet, List<double[]> queue, int g, WatchEvent event, double at) {
+        WatchOutcome next = fleet.get(g).on(event, at);
         fleet.set(g, next.state());
-        for (Command command : next.commands()) {
-            if (command instanceof Command.Open open) {
-                queue.add(new double[] {g, open.link(), at});
-                overbooked(fleet, queue, g, new Event.Connected(open.link()), at);
+        for (WatchCommand command : next.commands()) {
+            if (command instanceof WatchCommand.Open open) {
+                queue.add(new double[] {g, open.connection(), at});
+                overbooked(fleet, queue, g, new WatchEvent.Connected(open.connection()), at);
             }
         }
     }
@@ -348,7 +347,7 @@
         long latest = 41;
         long held = 41;
         int addresses = 1;
-        on(new Event.Move("a:0"));
+        on(new WatchEvent.AddressChanged("a:0"));
         for (int i = 0; i < 3000; i++) {
             int drawn = random.nextInt(100);
             List<Integer> links =
@@ -360,33 +359,33 @@
                 long from = told.get(link) + 1;
                 if (from == 1) {
                     told.put(link, latest);
-                    on(new Event.Told(link, whole(latest, "v" + latest + "=LEAVING")));
+                    on(new WatchEvent.UpdateReceived(link, whole(latest, "v" + latest + "=LEAVING")));
                 } else if (from <= latest) {
                     long to = from + random.nextInt((int) Math.min(3, latest - from + 1));
                     told.put(link, to);
-                    on(new Event.Told(link, changes(to, "v" + to + "=LEAVING")));
+                    on(new WatchEvent.UpdateReceived(link, changes(to, "v" + to + "=LEAVING")));
                 }
             } else if (drawn < 70) {
-                on(new Event.Answered(link));
+                on(new WatchEvent.AnswerReceived(link));
             } else if (drawn < 80) {
-                on(new Event.Ended(link));
+                on(new WatchEvent.Closed(link));
             } else if (drawn < 82) {
-                on(new Event.Move("a:" + addresses++));
+                on(new WatchEvent.AddressChanged("a:" + addresses++));
             } else if (drawn < 85) {
-                on(new Event.Unreadable(link));
+                on(new WatchEvent.UnreadableUpdate(link));
             } else {
                 pass(random.nextDouble() * 3);
             }
-            for (Command command : List.copyOf(done)) {
-                if (command instanceof Command.Open open) {
-                    told.put(open.link(), open.since());
-                } else if (command instanceof Command.Close close) {
-                    told.remove(close.link());
-                } else if (command instanceof Command.Take take) {
-                    assertTrue(take.news().version() > held
-                            || take.news().isSnapshot() && take.news().version() == held);
-                    assertEquals(held, take.before());
-                    held = take.news().version();
+            for (WatchCommand command : List.copyOf(done)) {
+                if (command instanceof WatchCommand.Open open) {
+                    told.put(open.connection(), open.since());
+                } else if (command instanceof WatchCommand.Close close) {
+                    told.remove(close.connection());
+                } else if (command instanceof WatchCommand.Apply take) {
+                    assertTrue(take.update().version() > held
+                            || take.update().isSnapshot() && take.update().version() == held);
+                    assertEquals(held, take.previousVersion());
+                    held = take.update().version();
                 }
             }
             done.clear();
@@ -399,8 +398,8 @@
         for (int i = 0; i < 100 && held < latest; i++) {
             pass(0.5);
             for (WatchStateMachine.Link open : state.links()) {
-                on(new Event.Answered(open.id()));
-                on(new Event.Told(
+                on(new WatchEvent.AnswerReceived(open.id()));
+                on(new WatchEvent.UpdateReceived(
                         open.id(), open.asked() == 0 ? whole(latest, "all=LEAVING") : changes(latest, "all=LEAVING")));
             }
             held = state.version();
