--- a/src/main/java/dunlinladder/membership/WatchTimeouts.java
+++ b/src/main/java/dunlinladder/membership/WatchTimeouts.java
@@ -51,6 +51,11 @@
         }
     }
 
+    /** The pauses between calls. */
+    Backoff backoff() {
+        return new Backoff(retrySeconds, retryMost);
+    }
+
     /** The protocol's: seconds between the empty lines of a watch while nothing changes. */
     private static final double BEAT = 2;
     /** The protocol's: seconds after which what a watch or a call misses counts as told. */
--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -56,7 +56,7 @@
         this.timing = timing;
         this.clock = clock;
         this.news = news;
-        this.state = WatchStateMachine.from(timing, version, seed);
+        this.state = WatchStateMachine.initial(timing, version, seed);
     }
 
     /** Follows discovery at this address from now on; nothing is missed on the way. */
@@ -97,7 +97,7 @@
 
     /** Whether the last call to discovery was not answered. */
     public synchronized boolean lastCallFailed() {
-        return state.failed() > 0;
+        return state.lastCallFailed();
     }
 
     private synchronized void on(WatchEvent event) {
--- a/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
+++ b/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
@@ -111,7 +111,7 @@
             @ForAll long seed, @ForAll boolean pushed, @ForAll @DoubleRange(min = 0.3, max = 2) double stop) {
         random = new Random(seed);
         WatchTimeouts timing = WatchTimeouts.of(pushed, stop);
-        state = WatchStateMachine.from(timing, 41, seed);
+        state = WatchStateMachine.initial(timing, 41, seed);
         now = 0;
         queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
         live = new HashSet<>();
@@ -128,10 +128,10 @@
         now = changedAt;
         boolean watched = false;
         boolean waits = false;
-        for (WatchStateMachine.Link link : state.links()) {
-            watched |= link.answered();
-            waits |= !link.answered() && !link.overdue();
-            if (live.contains(link.id()) && link.answered()) {
+        for (WatchConnection link : state.connections()) {
+            watched |= link.isAnswered();
+            waits |= !link.isAnswered() && !link.isTimedOut();
+            if (live.contains(link.id()) && link.isAnswered()) {
                 in(0, new WatchEvent.UpdateReceived(link.id(), CHANGE));
             }
         }
@@ -147,6 +147,6 @@
                 takenAt - changedAt <= within + 0.01,
                 "taken in " + (takenAt - changedAt)
                         + " s late, at most " + within + "; watched " + watched + ", waits " + waits + ", links "
-                        + state.links());
+                        + state.connections());
     }
 }
--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -101,7 +101,7 @@
 
     private void play(WatchTimeouts timing, long seed) {
         random = new Random(seed);
-        state = WatchStateMachine.from(timing, seed == 1 ? 0 : 41, seed);
+        state = WatchStateMachine.initial(timing, seed == 1 ? 0 : 41, seed);
         version = 41;
         now = 0;
         queue.clear();
--- a/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
+++ b/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
@@ -20,7 +20,7 @@
     private static final WatchTimeouts TIMING = new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
 
     private final List<WatchCommand> done = new ArrayList<>();
-    private WatchStateMachine state = WatchStateMachine.from(TIMING, 41, 7);
+    private WatchStateMachine state = WatchStateMachine.initial(TIMING, 41, 7);
     private double now;
 
     private void on(WatchEvent event) {
@@ -110,7 +110,7 @@
         for (int i = 0; i < 10; i++) {
             pass(6.1);
             assertTrue(done.stream().anyMatch(c -> c instanceof WatchCommand.Open), "in round " + i);
-            assertTrue(state.links().size() <= 3);
+            assertTrue(state.connections().size() <= 3);
             done.clear();
         }
     }
@@ -202,7 +202,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void aSilentWatchIsReplacedInTimeThoughACallIsLostToo(long seed) {
-        state = WatchStateMachine.from(TIMING, 41, seed);
+        state = WatchStateMachine.initial(TIMING, 41, seed);
         on(new WatchEvent.AddressChanged("a:1"));
         on(new WatchEvent.Connected(0));
         on(new WatchEvent.AnswerReceived(0));
@@ -215,7 +215,7 @@
         on(new WatchEvent.AnswerReceived(2));
         on(new WatchEvent.UpdateReceived(2, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
-        assertEquals(1, state.links().size());
+        assertEquals(1, state.connections().size());
         assertTrue(now <= 4);
     }
 
@@ -223,25 +223,27 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void anOutageFindsACallThatWaitsAtItsEnd(long seed) {
-        state = WatchStateMachine.from(TIMING, 41, seed);
+        state = WatchStateMachine.initial(TIMING, 41, seed);
         on(new WatchEvent.AddressChanged("a:1"));
         while (now < 60) {
-            state.links().stream().filter(link -> !link.up()).forEach(link -> on(new WatchEvent.Connected(link.id())));
+            state.connections().stream()
+                    .filter(link -> !link.isConnected())
+                    .forEach(link -> on(new WatchEvent.Connected(link.id())));
             pass(0.05);
-            assertFalse(state.links().isEmpty(), "none at " + now);
+            assertFalse(state.connections().isEmpty(), "none at " + now);
         }
         // A call that was due to be replaced is as good as any other until then.
-        while (!state.links().get(0).overdue()) {
+        while (!state.connections().get(0).isTimedOut()) {
             pass(0.01);
         }
-        int waited = state.links().get(0).id();
+        int waited = state.connections().get(0).id();
         done.clear();
         on(new WatchEvent.UpdateReceived(waited, changes(42, "x=LEAVING")));
         assertEquals(1, taken().size());
         pass(1);
         assertEquals(
                 List.of(waited),
-                state.links().stream().map(WatchStateMachine.Link::id).toList());
+                state.connections().stream().map(WatchConnection::id).toList());
     }
 
     @Test
@@ -270,16 +272,16 @@
         on(new WatchEvent.AddressChanged("a:1"));
         for (int round = 0; round < 60; round++) {
             done.clear();
-            state.links().forEach(link -> on(new WatchEvent.Closed(link.id())));
-            double pause = state.retryAt() - now;
+            state.connections().forEach(link -> on(new WatchEvent.Closed(link.id())));
+            double pause = state.retryNotBefore() - now;
             assertTrue(pause <= Math.min(4, 0.4 * Math.pow(2, round)), "round " + round + ": " + pause);
             pass(pause + 0.01);
             assertEquals(1, done.size());
         }
-        on(new WatchEvent.AnswerReceived(state.links().get(0).id()));
-        on(new WatchEvent.Heartbeat(state.links().get(0).id()));
-        on(new WatchEvent.Closed(state.links().get(0).id()));
-        assertTrue(state.retryAt() - now <= 0.2);
+        on(new WatchEvent.AnswerReceived(state.connections().get(0).id()));
+        on(new WatchEvent.Heartbeat(state.connections().get(0).id()));
+        on(new WatchEvent.Closed(state.connections().get(0).id()));
+        assertTrue(state.retryNotBefore() - now <= 0.2);
     }
 
     /**
@@ -292,7 +294,7 @@
         List<WatchStateMachine> fleet = new ArrayList<>();
         List<double[]> queue = new ArrayList<>();
         for (int g = 0; g < 14; g++) {
-            fleet.add(WatchStateMachine.from(TIMING, 41, seed * 1_000_003 + g * 7919));
+            fleet.add(WatchStateMachine.initial(TIMING, 41, seed * 1_000_003 + g * 7919));
             overbooked(fleet, queue, g, new WatchEvent.AddressChanged("a:1"), 0);
         }
         double free = 0;
@@ -313,14 +315,14 @@
                 overbooked(fleet, queue, (int) call[0], new WatchEvent.Heartbeat((int) call[1]), at);
             }
             for (int g = 0; g < fleet.size(); g++) {
-                for (WatchStateMachine.Link link : fleet.get(g).links()) {
-                    if (link.answered()) {
+                for (WatchConnection link : fleet.get(g).connections()) {
+                    if (link.isAnswered()) {
                         overbooked(fleet, queue, g, new WatchEvent.Heartbeat(link.id()), at);
                     }
                 }
             }
         }
-        assertTrue(fleet.stream().allMatch(f -> f.links().stream().anyMatch(WatchStateMachine.Link::answered)));
+        assertTrue(fleet.stream().allMatch(f -> f.connections().stream().anyMatch(WatchConnection::isAnswered)));
     }
 
     private static void overbooked(
@@ -351,7 +353,7 @@
         for (int i = 0; i < 3000; i++) {
             int drawn = random.nextInt(100);
             List<Integer> links =
-                    state.links().stream().map(WatchStateMachine.Link::id).toList();
+                    state.connections().stream().map(WatchConnection::id).toList();
             int link = links.isEmpty() ? 99_999 : links.get(random.nextInt(links.size()));
             if (drawn < 25) {
                 latest++;
@@ -389,24 +391,21 @@
                 }
             }
             done.clear();
-            assertTrue(state.links().stream()
-                            .filter(l -> l.address().equals(state.address()))
-                            .count()
-                    <= 3);
+            assertTrue(state.connections().stream().filter(state::isCurrent).count() <= 3);
         }
         // From here on whatever link is opened answers and tells all that it has.
         for (int i = 0; i < 100 && held < latest; i++) {
             pass(0.5);
-            for (WatchStateMachine.Link open : state.links()) {
+            for (WatchConnection open : state.connections()) {
                 on(new WatchEvent.AnswerReceived(open.id()));
                 on(new WatchEvent.UpdateReceived(
-                        open.id(), open.asked() == 0 ? whole(latest, "all=LEAVING") : changes(latest, "all=LEAVING")));
+                        open.id(), open.since() == 0 ? whole(latest, "all=LEAVING") : changes(latest, "all=LEAVING")));
             }
             held = state.version();
         }
         assertEquals(latest, held);
         // Where all was told already, the last thing that happened may have begun a pause.
         pass(TIMING.retryMost());
-        assertFalse(state.links().isEmpty());
+        assertFalse(state.connections().isEmpty());
     }
 }
