--- a/src/main/java/dunlinladder/apiformat/TranslationTable.java
+++ b/src/main/java/dunlinladder/apiformat/TranslationTable.java
@@ -107,8 +107,8 @@
         StringBuilder page = new StringBuilder("""
                 # What becomes of each field
 
-                Printed by `dunlinladder.apiformat.TranslationTable` from the tables that the program carries out; a test
-                holds this page against them. A cell names the field in the engine's format and what becomes
+                Printed by `dunlinladder.apiformat.TranslationTable` from the tables that the program carries out; a
+                test holds this page against them. A cell names the field in the engine's format and what becomes
                 of it on its way there. `dropped` comes with a warning header unless the value asks for
                 nothing (`n` of 1, say), `refused` with an error that names the field, `here` is done by the
                 gateway.
--- a/src/main/java/dunlinladder/routing/RoutingPolicy.java
+++ b/src/main/java/dunlinladder/routing/RoutingPolicy.java
@@ -631,8 +631,8 @@
                 : most.stream().filter(w -> !suspect(w)).toList();
     }
 
-    private EngineState best(List<EngineState> from, ToDoubleFunction<EngineState> cost, ToDoubleFunction<EngineState> tie,
-            ToDoubleFunction<EngineState> lastTie) {
+    private EngineState best(List<EngineState> from, ToDoubleFunction<EngineState> cost,
+            ToDoubleFunction<EngineState> tie, ToDoubleFunction<EngineState> lastTie) {
         EngineState best = null;
         double[] bestKey = null;
         int same = 0;
