--- a/src/main/java/dunlinladder/membership/Backoff.java
+++ b/src/main/java/dunlinladder/membership/Backoff.java
@@ -12,6 +12,13 @@
     /** Doublings after which every bound that is in use has reached its limit; keeps the power finite. */
     private static final int MAX_DOUBLINGS = 20;
 
+    /** Checks the bounds. */
+    public Backoff {
+        InvalidWatchTimeoutsException.require(initialSeconds > 0, "initialSeconds over 0", initialSeconds);
+        InvalidWatchTimeoutsException.require(
+                maxSeconds >= initialSeconds, "maxSeconds not under initialSeconds", maxSeconds);
+    }
+
     /**
      * The length of a pause in seconds.
      *
--- a/src/main/java/dunlinladder/membership/WatchConnection.java
+++ b/src/main/java/dunlinladder/membership/WatchConnection.java
@@ -106,20 +106,22 @@
     /** When it is given up unless it is answered; infinite where it has been answered or given up. */
     double answerDeadline(WatchTimeouts timeouts) {
         return switch (phase) {
-            case CONNECTING -> lastSignalAt + timeouts.openSeconds();
-            case AWAITING_ANSWER -> lastSignalAt + timeouts.answerSeconds();
+            case CONNECTING -> lastSignalAt + timeouts.connect().giveUpSeconds();
+            case AWAITING_ANSWER -> lastSignalAt + timeouts.answer().giveUpSeconds();
             case TIMED_OUT, ANSWERED, STREAMING -> Double.POSITIVE_INFINITY;
         };
     }
 
     /** When its updates have been older than the list for too long; infinite where they are not older. */
     double staleDeadline(WatchTimeouts timeouts) {
-        return staleSince.isPresent() ? staleSince.getAsDouble() + timeouts.epochSeconds() : Double.POSITIVE_INFINITY;
+        return staleSince.isPresent()
+                ? staleSince.getAsDouble() + timeouts.staleListSeconds()
+                : Double.POSITIVE_INFINITY;
     }
 
     /** Whether its updates have been older than the list for too long. */
     boolean isStaleTooLong(double now, WatchTimeouts timeouts) {
-        return staleSince.isPresent() && now - staleSince.getAsDouble() >= timeouts.epochSeconds();
+        return staleSince.isPresent() && now - staleSince.getAsDouble() >= timeouts.staleListSeconds();
     }
 
     /**
@@ -129,8 +131,9 @@
      */
     double backupDueAt(WatchTimeouts timeouts, boolean mayMissUpdates) {
         return switch (phase) {
-            case CONNECTING -> lastSignalAt + timeouts.raceSeconds();
-            case AWAITING_ANSWER -> mayMissUpdates ? lastSignalAt + timeouts.turnSeconds() : Double.POSITIVE_INFINITY;
+            case CONNECTING -> lastSignalAt + timeouts.connect().raceSeconds();
+            case AWAITING_ANSWER ->
+                mayMissUpdates ? lastSignalAt + timeouts.answer().backupSeconds() : Double.POSITIVE_INFINITY;
             case ANSWERED, STREAMING -> lastSignalAt + idleTimeoutSeconds;
             case TIMED_OUT -> Double.POSITIVE_INFINITY;
         };
--- a/src/main/java/dunlinladder/membership/WatchState.java
+++ b/src/main/java/dunlinladder/membership/WatchState.java
@@ -53,7 +53,7 @@
                 openAt = Math.max(openAt, connection.backupDueAt(timeouts, mayMissUpdates));
             }
         }
-        return count >= timeouts.links() ? Double.POSITIVE_INFINITY : openAt;
+        return count >= timeouts.connect().maxConnections() ? Double.POSITIVE_INFINITY : openAt;
     }
 
     /**
@@ -61,7 +61,7 @@
      * to the address before, the address has changed, or the agent on this machine may know more than it has sent.
      */
     private boolean mayMissUpdates(WatchTimeouts timeouts) {
-        return timeouts.local() || target.unconfirmed() || connections.anyAnswered();
+        return timeouts.localAgent() || target.unconfirmed() || connections.anyAnswered();
     }
 
     WatchState withTarget(DiscoveryTarget next) {
--- a/src/main/java/dunlinladder/membership/WatchTimeouts.java
+++ b/src/main/java/dunlinladder/membership/WatchTimeouts.java
@@ -1,109 +1,150 @@
 package dunlinladder.membership;
 
 /**
- * The times by which the list is followed, all in seconds, and a count.
+ * The times by which the engine list is watched. docs/membership.md sums them term by term.
  *
- * @param raceSeconds after which a link whose connection has not come up gets a second one beside it
- * @param openSeconds after which a link whose connection has not come up is given up
- * @param answerSeconds after which a link that is connected and has not answered is given up: its call may wait in
- *     turn, and another one would only make the queue longer
- * @param turnSeconds after which a call that is connected and not answered gets another one beside it, where news may
- *     be missed meanwhile
- * @param local whether discovery is an agent on this machine, which answers at once and at no cost, and whose news
- *     counts from the moment it has it: there news may always be missed
- * @param silenceSeconds without a line or a beat after which another link is tried beside the silent one
- * @param spreadSeconds the most that is added to it by chance, so that gateways do not ask in step
- * @param retrySeconds the longest pause before an address that ended or refused a link is asked again; doubled for each
- *     call in a row that was not answered
- * @param retryMost the bound of that doubling
- * @param epochSeconds for which lists older than what is held are left aside; then discovery is taken to have begun to
- *     count anew
- * @param links links at once to one address, at least 2
+ * @param connect bounds of establishing a connection
+ * @param answer bounds of waiting for an answer
+ * @param silence when an answered connection counts as silent
+ * @param backoff pauses between calls
+ * @param staleListSeconds for which updates older than the list that is held are ignored; then discovery is taken to
+ *     have begun to count anew; over 0
+ * @param localAgent whether discovery is an agent on this machine, which answers at once and at no cost, and whose
+ *     updates count from the moment it has them: there updates may always be missed
  */
 public record WatchTimeouts(
-        double raceSeconds,
-        double openSeconds,
-        double answerSeconds,
-        double turnSeconds,
-        double silenceSeconds,
-        double spreadSeconds,
-        double retrySeconds,
-        double retryMost,
-        double epochSeconds,
-        int links,
-        boolean local) {
+        Connect connect, Answer answer, Silence silence, Backoff backoff, double staleListSeconds, boolean localAgent) {
 
-    /** Checks the figures. */
-    public WatchTimeouts {
-        if (!(raceSeconds > 0
-                && openSeconds > raceSeconds
-                && answerSeconds >= openSeconds
-                && turnSeconds > 0
-                && silenceSeconds > 0
-                && spreadSeconds >= 0
-                && retrySeconds > 0
-                && retryMost >= retrySeconds
-                && epochSeconds > 0
-                && links >= 2)) {
-            throw new IllegalArgumentException("times must be over 0, openSeconds over raceSeconds, "
-                    + "answerSeconds not under it, retryMost not under retrySeconds, links 2 or more: "
-                    + this);
+    /** The protocol's: seconds between the heartbeats of a watch while nothing changes. */
+    private static final double HEARTBEAT_INTERVAL_SECONDS = 2;
+    /** The protocol's: seconds after which an update that a watch or a call misses counts as received. */
+    private static final double UPDATE_DUE_SECONDS = 6;
+    /** Seconds by which a heartbeat may be late on its way. */
+    private static final double HEARTBEAT_DELAY_SECONDS = 0.5;
+    /** The random part of the idle time-out, in seconds: as much as a heartbeat may be late. */
+    private static final double MAX_JITTER_SECONDS = HEARTBEAT_DELAY_SECONDS;
+    /** Seconds without an update or a heartbeat after which a connection is silent. */
+    private static final double SILENCE_SECONDS = HEARTBEAT_INTERVAL_SECONDS + HEARTBEAT_DELAY_SECONDS;
+    /** Steps after a silence: a call that is lost, the answer of the one beside it, its way to the decisions. */
+    private static final int STEPS_AFTER_SILENCE = 3;
+    /** Seconds of each of these steps, and so until a call gets another one beside it. */
+    private static final double BACKUP_SECONDS =
+            (UPDATE_DUE_SECONDS - SILENCE_SECONDS - MAX_JITTER_SECONDS) / STEPS_AFTER_SILENCE;
+    /** Seconds for an answer, and as many for its update to be read and to reach the decisions. */
+    private static final double STEP_SECONDS = 1;
+    /** The longest pause between calls, in seconds. */
+    private static final double MAX_PAUSE_SECONDS = STEP_SECONDS;
+    /** Seconds for a call that is lost: what two pauses, the next answer and its way to the decisions leave. */
+    private static final double ANSWER_SECONDS = UPDATE_DUE_SECONDS - 2 * MAX_PAUSE_SECONDS - 2 * STEP_SECONDS;
+    /** Bound of the pause after an answered call, in seconds. */
+    private static final double INITIAL_PAUSE_SECONDS = 0.2;
+    /** Seconds after which a connection that is not established gets another one beside it. */
+    private static final double RACE_SECONDS = 0.3;
+    /** Connections at once to one address. */
+    private static final int MAX_CONNECTIONS = 3;
+    /** Seconds of updates older than the list after which a snapshot is asked for. */
+    private static final double STALE_LIST_SECONDS = 10;
+    /** A drain rule under this many seconds can't be kept, however often discovery is asked. */
+    private static final double MIN_STOP_SECONDS = 0.2;
+    /** The part of the drain rule's time after which a call gets another one beside it. */
+    private static final int STOP_PARTS_UNTIL_BACKUP = 2;
+    /** The part of the drain rule's time that a pause may take; as much is left for the answer. */
+    private static final int STOP_PARTS_OF_PAUSE = 4;
+
+    /**
+     * Bounds of establishing a connection.
+     *
+     * @param raceSeconds after which another connection is opened beside one that is not established; over 0
+     * @param giveUpSeconds after which a connection that is not established is closed; over {@code raceSeconds}
+     * @param maxConnections connections at once to one address, at least 2
+     */
+    public record Connect(double raceSeconds, double giveUpSeconds, int maxConnections) {
+
+        private static final int MIN_CONNECTIONS = 2;
+
+        /** Checks the bounds. */
+        public Connect {
+            InvalidWatchTimeoutsException.require(raceSeconds > 0, "raceSeconds over 0", raceSeconds);
+            InvalidWatchTimeoutsException.require(
+                    giveUpSeconds > raceSeconds, "giveUpSeconds over raceSeconds", giveUpSeconds);
+            InvalidWatchTimeoutsException.require(
+                    maxConnections >= MIN_CONNECTIONS, "maxConnections 2 or more", maxConnections);
+        }
+    }
+
+    /**
+     * Bounds of waiting for an answer.
+     *
+     * @param backupSeconds after which a call gets another one beside it, where updates may be missed meanwhile; over 0
+     * @param giveUpSeconds after which a call counts as failed; before, it may wait for its turn, and another one would
+     *     only make discovery's queue longer
+     */
+    public record Answer(double backupSeconds, double giveUpSeconds) {
+
+        /** Checks the bounds. */
+        public Answer {
+            InvalidWatchTimeoutsException.require(backupSeconds > 0, "backupSeconds over 0", backupSeconds);
+            InvalidWatchTimeoutsException.require(giveUpSeconds > 0, "giveUpSeconds over 0", giveUpSeconds);
         }
     }
 
-    /** The pauses between calls. */
-    Backoff backoff() {
-        return new Backoff(retrySeconds, retryMost);
+    /**
+     * When an answered connection counts as silent.
+     *
+     * @param idleSeconds without an update or a heartbeat after which another connection is opened beside it; over 0
+     * @param maxJitterSeconds the most that is added to it by chance, so that gateways do not ask in step; 0 or more
+     */
+    public record Silence(double idleSeconds, double maxJitterSeconds) {
+
+        /** Checks the bounds. */
+        public Silence {
+            InvalidWatchTimeoutsException.require(idleSeconds > 0, "idleSeconds over 0", idleSeconds);
+            InvalidWatchTimeoutsException.require(
+                    maxJitterSeconds >= 0, "maxJitterSeconds 0 or more", maxJitterSeconds);
+        }
     }
 
-    /** The protocol's: seconds between the empty lines of a watch while nothing changes. */
-    private static final double BEAT = 2;
-    /** The protocol's: seconds after which what a watch or a call misses counts as told. */
-    private static final double TOLD = 6;
-    /** Seconds by which a beat may be late on its way; the most that is added by chance is the same. */
-    private static final double BEAT_LATE = 0.5;
-    /** Seconds for an answer, and as many for its news to be read and to reach the decisions. */
-    private static final double STEP = 1;
-    /** A drain rule under this can't be kept, whatever is asked how often. */
-    private static final double STOP_LEAST = 0.2;
-    /** The most links to one address. */
-    private static final int LINKS = 3;
+    /** Checks the bounds that concern more than one group. */
+    public WatchTimeouts {
+        InvalidWatchTimeoutsException.require(
+                answer.giveUpSeconds >= connect.giveUpSeconds,
+                "answer.giveUpSeconds not under connect.giveUpSeconds",
+                answer.giveUpSeconds);
+        InvalidWatchTimeoutsException.require(staleListSeconds > 0, "staleListSeconds over 0", staleListSeconds);
+    }
 
     /**
-     * The times that keep the protocol's bounds, which docs/membership.md sums term by term.
+     * The times that keep the protocol's bounds.
      *
      * @param pushed whether lists are pushed, so that the agent of this machine is asked
-     * @param stopSeconds the rule's: from news of a drain until nothing new may be sent; over 0
+     * @param stopSeconds the drain rule's: from the update of a drain until nothing new may be sent; over 0
      */
     public static WatchTimeouts of(boolean pushed, double stopSeconds) {
-        double silence = BEAT + BEAT_LATE;
-        double turn = (TOLD - silence - BEAT_LATE) / 3;
-        // Two pauses, a call that is lost, an answer and its reading.
-        double pause = STEP;
-        double answer = TOLD - 2 * pause - 2 * STEP;
+        return pushed ? pushed(Math.max(MIN_STOP_SECONDS, stopSeconds)) : onRequest();
+    }
+
+    private static WatchTimeouts onRequest() {
+        return summed(RACE_SECONDS, new Answer(BACKUP_SECONDS, ANSWER_SECONDS), MAX_PAUSE_SECONDS, false);
+    }
+
+    /** Half of the rule's time until another call is made, a quarter for a pause, the rest for the answer. */
+    private static WatchTimeouts pushed(double stopSeconds) {
+        double backupSeconds = Math.min(BACKUP_SECONDS, stopSeconds / STOP_PARTS_UNTIL_BACKUP);
+        double maxPauseSeconds = Math.min(MAX_PAUSE_SECONDS, stopSeconds / STOP_PARTS_OF_PAUSE);
+        double answerSeconds = Math.min(ANSWER_SECONDS, MAX_CONNECTIONS * backupSeconds);
+        double raceSeconds = Math.min(RACE_SECONDS, maxPauseSeconds);
+        return summed(raceSeconds, new Answer(backupSeconds, answerSeconds), maxPauseSeconds, true);
+    }
+
+    private static WatchTimeouts summed(double raceSeconds, Answer answer, double maxPauseSeconds, boolean localAgent) {
         // All that are raced have failed by the time at which one that is connected would have.
-        double race = 0.3;
-        if (!pushed) {
-            return new WatchTimeouts(
-                    race, answer - (LINKS - 1) * race, answer, turn, silence, BEAT_LATE, 0.2, pause, 10, LINKS, false);
-        }
-        // Half of the rule's time until another call is made, a quarter for a pause, the rest to hear of it.
-        double stop = Math.max(STOP_LEAST, stopSeconds);
-        turn = Math.min(turn, stop / 2);
-        pause = Math.min(pause, stop / 4);
-        race = Math.min(race, pause);
-        answer = Math.min(answer, LINKS * turn);
+        double connectSeconds = answer.giveUpSeconds - (MAX_CONNECTIONS - 1) * raceSeconds;
         return new WatchTimeouts(
-                race,
-                answer - (LINKS - 1) * race,
+                new Connect(raceSeconds, connectSeconds, MAX_CONNECTIONS),
                 answer,
-                turn,
-                silence,
-                BEAT_LATE,
-                Math.min(0.2, pause),
-                pause,
-                10,
-                LINKS,
-                true);
+                new Silence(SILENCE_SECONDS, MAX_JITTER_SECONDS),
+                new Backoff(Math.min(INITIAL_PAUSE_SECONDS, maxPauseSeconds), maxPauseSeconds),
+                STALE_LIST_SECONDS,
+                localAgent);
     }
 }
--- a/src/main/java/dunlinladder/membership/WatchTransition.java
+++ b/src/main/java/dunlinladder/membership/WatchTransition.java
@@ -157,7 +157,8 @@
                 state.connections().nextId(),
                 state.target().address().orElseThrow(),
                 state.position().since());
-        double idleTimeoutSeconds = timeouts.silenceSeconds() + drawFraction() * timeouts.spreadSeconds();
+        double idleTimeoutSeconds = timeouts.silence().idleSeconds()
+                + drawFraction() * timeouts.silence().maxJitterSeconds();
         WatchConnection connection = WatchConnection.opened(call, now, idleTimeoutSeconds);
         state = state.withConnections(state.connections().adding(connection));
         commands.add(call);
--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -198,7 +198,7 @@
                         new InetSocketAddress(
                                 wanted.address().substring(0, colon),
                                 Integer.parseInt(wanted.address().substring(colon + 1))),
-                        (int) (timing.openSeconds() * 1000));
+                        (int) (timing.connect().giveUpSeconds() * 1000));
                 connection.bind(socket);
                 BasicClassicHttpRequest request =
                         new BasicClassicHttpRequest("GET", "/discovery/hosts?follow=1&since=" + wanted.since());
--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -66,8 +66,22 @@
             case "pushed" -> WatchTimeouts.of(true, 0.5);
             case "hurried" -> WatchTimeouts.of(true, 0.05);
             case "slack" -> WatchTimeouts.of(true, 3);
-            case "patient" -> new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
-            default -> new WatchTimeouts(0.2, 1, 1, 0.4, 1.5, 0, 0.1, 0.8, 3, 2, true);
+            case "patient" ->
+                new WatchTimeouts(
+                        new WatchTimeouts.Connect(0.3, 2, 3),
+                        new WatchTimeouts.Answer(1, 3),
+                        new WatchTimeouts.Silence(2.5, 0.5),
+                        new Backoff(0.2, 4),
+                        10,
+                        false);
+            default ->
+                new WatchTimeouts(
+                        new WatchTimeouts.Connect(0.2, 1, 2),
+                        new WatchTimeouts.Answer(0.4, 1),
+                        new WatchTimeouts.Silence(1.5, 0),
+                        new Backoff(0.1, 0.8),
+                        3,
+                        true);
         };
     }
 
--- a/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
+++ b/src/test/java/dunlinladder/membership/WatchStateMachineTest.java
@@ -17,7 +17,13 @@
 /** The state machine that follows the list, step by step and against a discovery that does anything. */
 class WatchStateMachineTest {
 
-    private static final WatchTimeouts TIMING = new WatchTimeouts(0.3, 2, 3, 1, 2.5, 0.5, 0.2, 4, 10, 3, false);
+    private static final WatchTimeouts TIMING = new WatchTimeouts(
+            new WatchTimeouts.Connect(0.3, 2, 3),
+            new WatchTimeouts.Answer(1, 3),
+            new WatchTimeouts.Silence(2.5, 0.5),
+            new Backoff(0.2, 4),
+            10,
+            false);
 
     private final List<WatchCommand> done = new ArrayList<>();
     private WatchStateMachine state = WatchStateMachine.initial(TIMING, 41, 7);
@@ -405,7 +411,7 @@
         }
         assertEquals(latest, held);
         // Where all was told already, the last thing that happened may have begun a pause.
-        pass(TIMING.retryMost());
+        pass(TIMING.backoff().maxSeconds());
         assertFalse(state.connections().isEmpty());
     }
 }
