--- a/src/main/java/dunlinladder/transport/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointListReader.java
@@ -8,45 +8,71 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads discovery's lists. */
+/**
+ * Translates discovery's lists (protocol page) to {@link EndpointUpdate}s. It never changes and may be used by several
+ * threads.
+ */
 public final class EndpointListReader {
 
+    private static final double MILLIS_PER_SECOND = 1e3;
+
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** Creates a reader for a deployment's zones and machine kinds. */
+    /**
+     * Creates a reader for a deployment.
+     *
+     * @param zones names of the zones, in the order of their numbers; empty where there is but one, without a name
+     * @param kinds names of the engines' kinds, likewise
+     */
     public EndpointListReader(List<String> zones, List<String> kinds) {
-        this.zones = zones;
-        this.kinds = kinds;
+        this.zones = List.copyOf(zones);
+        this.kinds = List.copyOf(kinds);
     }
 
-    /** Translates a message; {@code cached} when it is a list from before the start. */
+    /**
+     * Translates a list.
+     *
+     * @param message the list as it came
+     * @param cached whether it is a snapshot from before this process started, which may be out of date
+     * @throws InvalidInputException where a field is missing, of another type, or names what is not known
+     */
     public EndpointUpdate read(JsonObject message, boolean cached) {
         List<Engine> engines = new ArrayList<>();
         for (JsonObject host : message.children("hosts")) {
-            Engine.State state = switch (host.text("health")) {
-                case "active" -> Engine.State.ACTIVE;
-                case "leaving" -> Engine.State.LEAVING;
-                case "left" -> Engine.State.LEFT;
-                default -> throw new InvalidInputException("unknown health " + host.text("health"));
-            };
-            // born_ms is Unix time, as the clock's seconds are.
-            engines.add(new Engine(
-                    host.text("host"),
-                    host.text("dial", ""),
-                    index(zones, host, "site"),
-                    index(kinds, host, "class"),
-                    (int) host.integer("block", 0),
-                    state,
-                    host.number("share", 1),
-                    host.number("born_ms", 0) / 1e3));
+            engines.add(engine(host));
+        }
+        return new EndpointUpdate(message.integer("seq"), scope(message, cached), engines);
+    }
+
+    private Engine engine(JsonObject host) {
+        Engine.State state = state(host.text("health"));
+        // born_ms is Unix time, as the clock's seconds are.
+        return new Engine(
+                host.text("host"),
+                host.text("dial", ""),
+                index(zones, host, "site"),
+                index(kinds, host, "class"),
+                (int) host.integer("block", 0),
+                state,
+                host.number("share", 1),
+                host.number("born_ms", 0) / MILLIS_PER_SECOND);
+    }
+
+    private static Engine.State state(String health) {
+        return switch (health) {
+            case "active" -> Engine.State.ACTIVE;
+            case "leaving" -> Engine.State.LEAVING;
+            case "left" -> Engine.State.LEFT;
+            default -> throw new InvalidInputException("unknown health " + health);
+        };
+    }
+
+    private static RequestRouter.Scope scope(JsonObject message, boolean cached) {
+        if (cached) {
+            return RequestRouter.Scope.CACHED;
         }
-        return new EndpointUpdate(
-                message.integer("seq"),
-                cached
-                        ? RequestRouter.Scope.CACHED
-                        : message.flag("whole") ? RequestRouter.Scope.COMPLETE : RequestRouter.Scope.CHANGES,
-                engines);
+        return message.flag("whole") ? RequestRouter.Scope.COMPLETE : RequestRouter.Scope.CHANGES;
     }
 
     private static int index(List<String> names, JsonObject host, String field) {
