--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -7,88 +7,93 @@
 import dunlinladder.membership.WatchOutcome;
 import dunlinladder.membership.WatchStateMachine;
 import dunlinladder.membership.WatchTimeouts;
-import dunlinladder.transport.json.InvalidInputException;
-import dunlinladder.transport.json.JsonObject;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
-import org.apache.hc.core5.http.ClassicHttpResponse;
-import org.apache.hc.core5.http.HttpException;
-import org.apache.hc.core5.http.impl.io.DefaultBHttpClientConnection;
-import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows discovery over HTTP as {@link WatchStateMachine} says, each link on a thread of its own. Until there is news
- * the last list stands. News is taken in by the thread that read it, so that nothing waits behind it.
+ * Watches discovery over HTTP as {@link WatchStateMachine} says. Until there is an update the last list stands.
+ *
+ * <p>Threads: {@link #run} belongs to a thread of the caller, which only keeps the time; each {@link WatchCall} reads
+ * on a thread of its own. An update is applied by the thread that read it, so that nothing waits behind it.
+ *
+ * <p>Locks: the monitor of this object guards {@code state} and is held while commands are carried out, so that updates
+ * are applied in order, one at a time; {@link #run} waits on it and is notified of each new state. {@code calls} is
+ * changed under the monitor, or by a call that ends, and read by any thread without it.
  */
 public final class EndpointWatcher implements Runnable {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatcher.class);
-    /** Shortest and longest sleep between looks at the clock, in seconds. */
-    private static final double SLEEP_LEAST = 0.02;
+    /** Shortest wait for the next deadline, in seconds. */
+    private static final double MIN_WAIT_SECONDS = 0.02;
+    /** Longest wait for the next deadline, in seconds. */
+    private static final double MAX_WAIT_SECONDS = 1;
 
-    private static final double SLEEP_MOST = 1;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final EndpointListReader reader;
-    private final WatchTimeouts timing;
+    private final WatchTimeouts timeouts;
     private final Clock clock;
-    private final Consumer<EndpointUpdate> news;
-    private final Map<Integer, Link> open = new ConcurrentHashMap<>();
+    private final Consumer<EndpointUpdate> updates;
+    private final Map<Integer, WatchCall> calls = new ConcurrentHashMap<>();
     private WatchStateMachine state;
 
     /**
-     * Creates a watch for what came after {@code version}; {@code seed} feeds the pauses between calls, {@code news} is
-     * told in order, one at a time.
+     * Creates a watcher that asks for what came after a version.
+     *
+     * @param reader translates discovery's lists
+     * @param timeouts the times by which the list is watched
+     * @param clock the gateway's clock
+     * @param version version of the list that is held already; 0 for none
+     * @param seed seed of the random parts of pauses and time-outs
+     * @param updates gets the updates in order, one at a time, on the thread that read them; where it throws, a
+     *     snapshot is asked for
      */
     public EndpointWatcher(
             EndpointListReader reader,
-            WatchTimeouts timing,
+            WatchTimeouts timeouts,
             Clock clock,
             long version,
             long seed,
-            Consumer<EndpointUpdate> news) {
+            Consumer<EndpointUpdate> updates) {
         this.reader = reader;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.clock = clock;
-        this.news = news;
-        this.state = WatchStateMachine.initial(timing, version, seed);
+        this.updates = updates;
+        this.state = WatchStateMachine.initial(timeouts, version, seed);
     }
 
-    /** Follows discovery at this address from now on; nothing is missed on the way. */
+    /** Watches discovery at this address, which is resolved, from now on; no update is missed on the way. */
     public void moveTo(InetSocketAddress next) {
         String address = next.getAddress().getHostAddress() + ":" + next.getPort();
-        LOG.info("discovery is at {}", address);
-        on(new WatchEvent.AddressChanged(address));
+        LOG.info("event=discovery_moved address={}", address);
+        handle(new WatchEvent.AddressChanged(address));
     }
 
-    /** Looks at the clock until it is interrupted. */
+    /** Reports the time to the state machine until the thread is interrupted, then closes all connections. */
     @Override
     public void run() {
         try {
             while (true) {
-                on(new WatchEvent.Tick());
-                synchronized (this) {
-                    double left = Math.min(SLEEP_MOST, state.nextDeadline() - clock.now());
-                    wait((long) (Math.max(SLEEP_LEAST, left) * 1e3));
-                }
+                handle(new WatchEvent.Tick());
+                awaitDeadline();
             }
         } catch (InterruptedException e) {
-            open.values().forEach(Link::close);
+            calls.values().forEach(WatchCall::close);
+            Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Whether discovery has written what is not yet read. A send that is about to start waits for it: what is told
-     * counts from when it was written, however long the reading thread has to wait for a core.
+     * Whether discovery has written what is not read yet. A send that is about to start waits for it: an update counts
+     * from when it was written, however long the reading thread has to wait for a core.
      */
     public boolean hasUnreadUpdate() {
-        for (Link link : open.values()) {
-            if (link.unread()) {
+        for (WatchCall call : calls.values()) {
+            if (call.hasUnreadBytes()) {
                 return true;
             }
         }
@@ -100,124 +105,67 @@
         return state.lastCallFailed();
     }
 
-    private synchronized void on(WatchEvent event) {
-        WatchOutcome next = state.on(event, clock.now());
-        state = next.state();
-        for (WatchCommand command : next.commands()) {
-            if (command instanceof WatchCommand.Open wanted) {
-                new Link(wanted).start();
+    private synchronized void awaitDeadline() throws InterruptedException {
+        double seconds = Math.min(MAX_WAIT_SECONDS, state.nextDeadline() - clock.now());
+        wait((long) (Math.max(MIN_WAIT_SECONDS, seconds) * MILLIS_PER_SECOND));
+    }
+
+    private synchronized void handle(WatchEvent event) {
+        WatchOutcome outcome = state.on(event, clock.now());
+        state = outcome.state();
+        for (WatchCommand command : outcome.commands()) {
+            if (command instanceof WatchCommand.Open open) {
+                open(open);
             } else if (command instanceof WatchCommand.Close close) {
-                Link link = open.remove(close.connection());
-                if (link != null) {
-                    link.close();
-                }
-            } else if (command instanceof WatchCommand.Apply take && !taken(take.update())) {
-                on(new WatchEvent.UpdateNotApplied(take.previousVersion()));
+                cancel(close.connection());
+            } else if (command instanceof WatchCommand.Apply apply && !applied(apply.update())) {
+                // That event closes all connections, so what is left to open is not opened.
+                handle(new WatchEvent.UpdateNotApplied(apply.previousVersion()));
                 return;
             }
         }
         notifyAll();
     }
 
-    private boolean taken(EndpointUpdate told) {
+    private void open(WatchCommand.Open command) {
+        WatchCall call = new WatchCall(command, reader, timeouts.connect().giveUpSeconds(), new CallListener());
+        calls.put(call.id(), call);
+        Thread thread = new Thread(call, "discovery-" + call.id());
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void cancel(int connection) {
+        WatchCall call = calls.remove(connection);
+        if (call != null) {
+            call.cancel();
+        }
+    }
+
+    private boolean applied(EndpointUpdate update) {
         try {
-            news.accept(told);
+            updates.accept(update);
             return true;
         } catch (RuntimeException e) {
-            LOG.error("list version {} could not be taken in; the whole list is asked for", told.version(), e);
+            // Whatever the receiver's fault is, the list must not stand still: the snapshot is asked for.
+            LOG.error("event=endpoints_not_applied version={}", update.version(), e);
             return false;
         }
     }
 
-    /** One connection to discovery. */
-    private final class Link implements Runnable {
-        private final WatchCommand.Open wanted;
-        private final Socket socket = new Socket();
-
-        Link(WatchCommand.Open wanted) {
-            this.wanted = wanted;
-        }
-
-        void start() {
-            open.put(wanted.connection(), this);
-            Thread thread = new Thread(this, "discovery-" + wanted.connection());
-            thread.setDaemon(true);
-            thread.start();
-        }
-
-        void close() {
-            try {
-                socket.close();
-            } catch (IOException e) {
-                LOG.debug("closing a link to discovery: {}", e.toString());
-            }
-        }
-
-        boolean unread() {
-            try {
-                return socket.isConnected()
-                        && !socket.isClosed()
-                        && socket.getInputStream().available() > 0;
-            } catch (IOException e) {
-                return false;
-            }
-        }
+    /** Hands what comes on a call to the state machine, on the thread of that call. */
+    private final class CallListener implements WatchCall.Listener {
 
         @Override
-        public void run() {
-            WatchEvent end = new WatchEvent.Closed(wanted.connection());
-            try {
-                follow();
-                LOG.info("discovery at {} ended its watch", wanted.address());
-            } catch (IOException | HttpException e) {
-                if (open.get(wanted.connection()) == this) {
-                    LOG.warn("discovery at {}: {}", wanted.address(), e.toString());
-                }
-            } catch (InvalidInputException e) {
-                LOG.warn(
-                        "discovery at {} sent what can't be read, the whole list is asked for: {}",
-                        wanted.address(),
-                        e.getMessage());
-                end = new WatchEvent.UnreadableUpdate(wanted.connection());
-            } catch (RuntimeException | OutOfMemoryError e) {
-                // This thread must not end in silence: without its link the list would stand still for good.
-                LOG.error("discovery at {}", wanted.address(), e);
-                end = new WatchEvent.UnreadableUpdate(wanted.connection());
-            } finally {
-                open.remove(wanted.connection(), this);
-                close();
-                on(end);
-            }
+        public void received(WatchEvent event) {
+            handle(event);
         }
 
-        private void follow() throws IOException, HttpException {
-            int colon = wanted.address().lastIndexOf(':');
-            try (DefaultBHttpClientConnection connection = new DefaultBHttpClientConnection(null)) {
-                socket.setTcpNoDelay(true);
-                socket.connect(
-                        new InetSocketAddress(
-                                wanted.address().substring(0, colon),
-                                Integer.parseInt(wanted.address().substring(colon + 1))),
-                        (int) (timing.connect().giveUpSeconds() * 1000));
-                connection.bind(socket);
-                BasicClassicHttpRequest request =
-                        new BasicClassicHttpRequest("GET", "/discovery/hosts?follow=1&since=" + wanted.since());
-                request.setHeader("Host", wanted.address());
-                connection.sendRequestHeader(request);
-                connection.flush();
-                on(new WatchEvent.Connected(wanted.connection()));
-                ClassicHttpResponse response = connection.receiveResponseHeader();
-                if (response.getCode() != 200) {
-                    throw new IOException("status " + response.getCode());
-                }
-                on(new WatchEvent.AnswerReceived(wanted.connection()));
-                connection.receiveResponseEntity(response);
-                JsonObject.Values lists = new JsonObject.Values(
-                        response.getEntity().getContent(), () -> on(new WatchEvent.Heartbeat(wanted.connection())));
-                for (JsonObject list = lists.next(); list != null; list = lists.next()) {
-                    on(new WatchEvent.UpdateReceived(wanted.connection(), reader.read(list, false)));
-                }
-            }
+        @Override
+        public void ended(WatchCall call, WatchEvent event) {
+            calls.remove(call.id(), call);
+            call.close();
+            handle(event);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/dunlinladder/transport/discovery/EndpointWatcherTest.java
@@ -0,0 +1,295 @@
+package dunlinladder.transport.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinladder.core.Clock;
+import dunlinladder.membership.Backoff;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.membership.WatchTimeouts;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** The watcher on sockets, against a discovery that answers each call with what the test says. */
+@Timeout(60)
+class EndpointWatcherTest {
+
+    private static final long VERSION = 41;
+    private static final long PATIENCE_SECONDS = 20;
+    /** Long, so that a busy machine does not add calls; only the pauses between calls are short. */
+    private static final WatchTimeouts TIMEOUTS = new WatchTimeouts(
+            new WatchTimeouts.Connect(40, 50, 3),
+            new WatchTimeouts.Answer(40, 50),
+            new WatchTimeouts.Silence(50, 0),
+            new Backoff(0.05, 0.1),
+            50,
+            false);
+
+    private final BlockingQueue<Long> applied = new LinkedBlockingQueue<>();
+    private Thread watching;
+
+    private EndpointWatcher watch(StubDiscovery discovery, Consumer<EndpointUpdate> updates) {
+        EndpointWatcher watcher = new EndpointWatcher(
+                new EndpointListReader(List.of(), List.of()), TIMEOUTS, new Clock(), VERSION, 1, updates);
+        watcher.moveTo(discovery.address());
+        watching = new Thread(watcher, "watching");
+        watching.start();
+        return watcher;
+    }
+
+    private void apply(EndpointUpdate update) {
+        applied.add(update.version());
+    }
+
+    private static String update(long version) {
+        return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[]}\n";
+    }
+
+    private void assertApplied(long version) throws InterruptedException {
+        assertEquals(version, applied.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    }
+
+    private static void await(BooleanSupplier condition) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        while (!condition.getAsBoolean() && System.nanoTime() < end) {
+            Thread.sleep(5);
+        }
+        assertTrue(condition.getAsBoolean());
+    }
+
+    @AfterEach
+    void stopWatching() throws InterruptedException {
+        watching.interrupt();
+        watching.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        assertFalse(watching.isAlive());
+    }
+
+    @Test
+    void appliesUpdatesInOrderAfterTheVersionThatIsHeld() throws Exception {
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            EndpointWatcher watcher = watch(discovery, this::apply);
+            StubDiscovery.Call call = discovery.nextCall();
+            assertEquals("GET /discovery/hosts?follow=1&since=41 HTTP/1.1", call.requestLine());
+            call.answer("200 OK");
+            call.send(update(42) + "\n" + update(43));
+            call.send(update(44));
+            assertApplied(42);
+            assertApplied(43);
+            assertApplied(44);
+            assertFalse(watcher.lastCallFailed());
+        }
+    }
+
+    @Test
+    void requestsASnapshotWhenAnUpdateIsUnreadable() throws Exception {
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            watch(discovery, this::apply);
+            StubDiscovery.Call call = discovery.nextCall();
+            call.answer("200 OK");
+            call.send("nonsense\n");
+            StubDiscovery.Call next = discovery.nextCall();
+            assertTrue(next.requestLine().contains("since=0 "), next.requestLine());
+            next.answer("200 OK");
+            next.send(update(41));
+            assertApplied(41);
+        }
+    }
+
+    @Test
+    void requestsASnapshotWhenAnUpdateIsNotApplied() throws Exception {
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            watch(discovery, update -> {
+                if (update.version() == 42) {
+                    throw new UnsupportedOperationException("not this one");
+                }
+                apply(update);
+            });
+            StubDiscovery.Call call = discovery.nextCall();
+            call.answer("200 OK");
+            call.send(update(42));
+            StubDiscovery.Call next = discovery.nextCall();
+            assertTrue(next.requestLine().contains("since=0 "), next.requestLine());
+            assertTrue(call.isClosedByClient());
+            next.answer("200 OK");
+            next.send(update(43));
+            assertApplied(43);
+        }
+    }
+
+    @Test
+    void callsAgainWhenACallIsRefusedWithAStatus() throws Exception {
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            EndpointWatcher watcher = watch(discovery, this::apply);
+            discovery.nextCall().answer("503 Service Unavailable");
+            StubDiscovery.Call next = discovery.nextCall();
+            assertTrue(watcher.lastCallFailed());
+            next.answer("200 OK");
+            next.send(update(42));
+            assertApplied(42);
+            await(() -> !watcher.lastCallFailed());
+        }
+    }
+
+    @Test
+    void leavesTheOldAddressOnceTheNewOneHasAnswered() throws Exception {
+        try (StubDiscovery old = new StubDiscovery();
+                StubDiscovery moved = new StubDiscovery()) {
+            EndpointWatcher watcher = watch(old, this::apply);
+            StubDiscovery.Call before = old.nextCall();
+            before.answer("200 OK");
+            before.send(update(42));
+            assertApplied(42);
+            watcher.moveTo(moved.address());
+            StubDiscovery.Call after = moved.nextCall();
+            before.send(update(43));
+            assertApplied(43);
+            after.answer("200 OK");
+            after.send(update(44));
+            assertApplied(44);
+            assertTrue(before.isClosedByClient());
+        }
+    }
+
+    @Test
+    void showsBytesThatWaitWhileAnUpdateIsBeingApplied() throws Exception {
+        CountDownLatch applying = new CountDownLatch(1);
+        CountDownLatch goOn = new CountDownLatch(1);
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            EndpointWatcher watcher = watch(discovery, update -> {
+                applying.countDown();
+                awaitUninterruptibly(goOn);
+                apply(update);
+            });
+            StubDiscovery.Call call = discovery.nextCall();
+            call.answer("200 OK");
+            call.send(update(42));
+            assertTrue(applying.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertFalse(watcher.hasUnreadUpdate());
+            call.send(update(43));
+            await(watcher::hasUnreadUpdate);
+            goOn.countDown();
+            assertApplied(42);
+            assertApplied(43);
+            await(() -> !watcher.hasUnreadUpdate());
+        }
+    }
+
+    @Test
+    void reportsFailureWhenNobodyListens() throws Exception {
+        InetSocketAddress unused;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            unused = (InetSocketAddress) socket.getLocalSocketAddress();
+        }
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            EndpointWatcher watcher = watch(discovery, this::apply);
+            watcher.moveTo(unused);
+            await(watcher::lastCallFailed);
+        }
+    }
+
+    @Test
+    void closesItsConnectionsWhenInterrupted() throws Exception {
+        try (StubDiscovery discovery = new StubDiscovery()) {
+            watch(discovery, this::apply);
+            StubDiscovery.Call call = discovery.nextCall();
+            call.answer("200 OK");
+            call.send(update(42));
+            assertApplied(42);
+            watching.interrupt();
+            assertTrue(call.isClosedByClient());
+        }
+    }
+
+    private static void awaitUninterruptibly(CountDownLatch latch) {
+        try {
+            assertTrue(latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Discovery's listening socket; the test answers each call by hand. */
+    private static final class StubDiscovery implements AutoCloseable {
+
+        private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+
+        StubDiscovery() throws IOException {
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        }
+
+        InetSocketAddress address() {
+            return (InetSocketAddress) socket.getLocalSocketAddress();
+        }
+
+        Call nextCall() throws IOException {
+            return new Call(socket.accept());
+        }
+
+        @Override
+        public void close() throws IOException {
+            socket.close();
+        }
+
+        /** One call, whose request head has been read. */
+        private static final class Call {
+
+            private final Socket connection;
+            private final BufferedReader in;
+            private final String requestLine;
+
+            Call(Socket connection) throws IOException {
+                this.connection = connection;
+                connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+                in = new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
+                requestLine = in.readLine();
+                String header = in.readLine();
+                while (header != null && !header.isEmpty()) {
+                    header = in.readLine();
+                }
+                assertNotNull(header);
+            }
+
+            String requestLine() {
+                return requestLine;
+            }
+
+            void answer(String status) throws IOException {
+                send("HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\n\r\n");
+            }
+
+            void send(String text) throws IOException {
+                connection.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+                connection.getOutputStream().flush();
+            }
+
+            /** Waits until the client has closed the connection; false where it sends something instead. */
+            boolean isClosedByClient() throws IOException {
+                try {
+                    return in.read() < 0;
+                } catch (SocketException e) {
+                    // A reset closes it as well.
+                    return true;
+                }
+            }
+        }
+    }
+}
