--- a/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
+++ b/src/test/java/dunlinladder/membership/GoldenWatchTraceTest.java
@@ -7,18 +7,16 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HexFormat;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every command of the state machine that follows the list, in order, and when it wants to be woken, against a
- * discovery that does anything in virtual time; held against a digest. Whoever changes its form and not what it does
- * sees here that all stayed.
+ * Every command of the watch's state machine, in order, and its next deadline after each event, against a discovery
+ * that does anything in virtual time; held against a digest. A change of form that leaves the behaviour alone keeps the
+ * digests.
  *
  * <p>A digest is of the number of commands and of a canonical text, which {@link #text} and {@link #step} alone write,
  * so that new names leave it as it is.
@@ -26,17 +24,14 @@
 class GoldenWatchTraceTest {
 
     private static final int STEPS = 6000;
+    private static final double SHORTEST_STEP_SECONDS = 1e-6;
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
 
-    private record Due(double at, long number, WatchEvent event) {}
-
     private final StringBuilder trace = new StringBuilder();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+    private final EventSchedule schedule = new EventSchedule();
     private Random random;
     private WatchStateMachine state;
     private double now;
-    private long number;
     private long version;
     private int commands;
 
@@ -49,18 +44,18 @@
         "patient, " + "2828:9a446225e59586503c85615a497dc9e6b4d911c3063b8e94c410cf5ce7c60400",
         "two, " + "2402:4e965b18a9b9882e6ba34ac6eb242df3d7e10667f65b8367391a08934c20d134"
     })
-    void followsAsBefore(String timing, String expected) {
-        assertEquals(expected, digest(timing));
+    void commandsAndDeadlinesStayAsBefore(String timeouts, String expected) {
+        assertEquals(expected, digest(timeouts));
     }
 
-    String digest(String timing) {
+    String digest(String timeouts) {
         for (long seed = 1; seed <= 2; seed++) {
-            play(timing(timing), seed);
+            play(timeouts(timeouts), seed);
         }
         return commands + ":" + sha256(trace.toString());
     }
 
-    private static WatchTimeouts timing(String name) {
+    private static WatchTimeouts timeouts(String name) {
         return switch (name) {
             case "asked" -> WatchTimeouts.of(false, 0.5);
             case "pushed" -> WatchTimeouts.of(true, 0.5);
@@ -92,15 +87,15 @@
         } else if (command instanceof WatchCommand.Close close) {
             return "close|" + close.connection();
         }
-        WatchCommand.Apply take = (WatchCommand.Apply) command;
-        return "take|" + take.update().version() + "|" + take.update().isSnapshot() + "|" + take.previousVersion();
+        WatchCommand.Apply apply = (WatchCommand.Apply) command;
+        return "take|" + apply.update().version() + "|" + apply.update().isSnapshot() + "|" + apply.previousVersion();
     }
 
-    /** The canonical text of a step: when it is over, and when the next one is wanted. */
-    private void step(double wake) {
+    /** Adds the canonical text of a step: its time, and the next deadline. */
+    private void step(double deadline) {
         trace.append(Double.toHexString(now))
                 .append('|')
-                .append(Double.toHexString(wake))
+                .append(Double.toHexString(deadline))
                 .append('\n');
     }
 
@@ -113,102 +108,102 @@
         }
     }
 
-    private void play(WatchTimeouts timing, long seed) {
+    private void play(WatchTimeouts timeouts, long seed) {
         random = new Random(seed);
-        state = WatchStateMachine.initial(timing, seed == 1 ? 0 : 41, seed);
+        state = WatchStateMachine.initial(timeouts, seed == 1 ? 0 : 41, seed);
         version = 41;
         now = 0;
-        queue.clear();
+        schedule.clear();
         on(new WatchEvent.Tick());
         in(0.5, new WatchEvent.AddressChanged("a:1"));
         for (double at = 9; at < 3000; at += 2 + 20 * random.nextDouble()) {
             in(at, new WatchEvent.AddressChanged(ADDRESSES.get(random.nextInt(ADDRESSES.size()))));
         }
         for (int i = 0; i < STEPS; i++) {
-            double wake = Math.max(now + 1e-6, state.nextDeadline());
-            Due due = !queue.isEmpty() && queue.peek().at <= wake ? queue.poll() : null;
-            now = Math.max(now, due == null ? wake : due.at);
-            on(due == null ? new WatchEvent.Tick() : due.event);
+            double deadline = Math.max(now + SHORTEST_STEP_SECONDS, state.nextDeadline());
+            boolean scheduled = !schedule.isEmpty() && schedule.nextAt() <= deadline;
+            now = Math.max(now, scheduled ? schedule.nextAt() : deadline);
+            on(scheduled ? schedule.poll() : new WatchEvent.Tick());
         }
     }
 
     private void in(double delay, WatchEvent event) {
-        queue.add(new Due(now + delay, number++, event));
+        schedule.add(now + delay, event);
     }
 
-    private boolean chance(double share) {
-        return random.nextDouble() < share;
+    private boolean chance(double probability) {
+        return random.nextDouble() < probability;
     }
 
     private void on(WatchEvent event) {
-        WatchOutcome next = state.on(event, now);
-        state = next.state();
-        List<WatchEvent> after = new ArrayList<>();
-        for (WatchCommand command : next.commands()) {
+        WatchOutcome outcome = state.on(event, now);
+        state = outcome.state();
+        List<WatchEvent> failures = new ArrayList<>();
+        for (WatchCommand command : outcome.commands()) {
             commands++;
             trace.append(text(command)).append('\n');
             if (command instanceof WatchCommand.Open open) {
-                called(open.connection(), open.since());
-            } else if (command instanceof WatchCommand.Apply take && chance(0.04)) {
-                after.add(new WatchEvent.UpdateNotApplied(take.previousVersion()));
+                decideCall(open.connection(), open.since());
+            } else if (command instanceof WatchCommand.Apply apply && chance(0.04)) {
+                failures.add(new WatchEvent.UpdateNotApplied(apply.previousVersion()));
             }
         }
         step(state.nextDeadline());
-        after.forEach(this::on);
+        failures.forEach(this::on);
     }
 
     /** What becomes of a call: refused, never up, never answered, late, or a watch with all its faults. */
-    private void called(int link, long since) {
+    private void decideCall(int connection, long since) {
         boolean outage = now % 100 > 80;
         int fate = random.nextInt(outage ? 5 : 12);
         if (fate == 0) {
-            in(0.001, new WatchEvent.Closed(link));
+            in(0.001, new WatchEvent.Closed(connection));
         } else if (fate == 1) {
-            in(random.nextDouble(), new WatchEvent.Connected(link));
+            in(random.nextDouble(), new WatchEvent.Connected(connection));
         } else if (fate == 2) {
-            in(0.002, new WatchEvent.Connected(link));
-            in(random.nextDouble() * 8, new WatchEvent.Closed(link));
+            in(0.002, new WatchEvent.Connected(connection));
+            in(random.nextDouble() * 8, new WatchEvent.Closed(connection));
         } else if (fate > 3) {
-            in(0.003, new WatchEvent.Connected(link));
-            watch(link, since, random.nextDouble() * (fate == 4 ? 7 : 0.3));
+            in(0.003, new WatchEvent.Connected(connection));
+            watch(connection, since, random.nextDouble() * (fate == 4 ? 7 : 0.3));
         }
         // Else it never comes up.
     }
 
-    private void watch(int link, long since, double delay) {
-        in(delay, new WatchEvent.AnswerReceived(link));
+    private void watch(int connection, long since, double delay) {
+        in(delay, new WatchEvent.AnswerReceived(connection));
         double at = delay + random.nextDouble() * 0.1;
         double lasts = delay + random.nextDouble() * 40;
         if (since == 0 || chance(0.1)) {
-            in(at, new WatchEvent.UpdateReceived(link, news(true)));
+            in(at, new WatchEvent.UpdateReceived(connection, update(true)));
         }
         while (at < lasts) {
             if (chance(0.02)) {
-                in(at, new WatchEvent.UnreadableUpdate(link));
+                in(at, new WatchEvent.UnreadableUpdate(connection));
             }
             in(
                     at,
                     chance(0.5)
-                            ? new WatchEvent.Heartbeat(link)
-                            : new WatchEvent.UpdateReceived(link, news(chance(0.15))));
+                            ? new WatchEvent.Heartbeat(connection)
+                            : new WatchEvent.UpdateReceived(connection, update(chance(0.15))));
             at += chance(0.05) ? 4 : 0.2 + 2 * random.nextDouble();
         }
         if (chance(0.7)) {
-            in(lasts, new WatchEvent.Closed(link));
+            in(lasts, new WatchEvent.Closed(connection));
         }
         // Else it falls silent.
     }
 
-    /** News of what is now, of what was, or of a discovery that counts anew. */
-    private EndpointUpdate news(boolean whole) {
+    /** An update of what is now, of what was, or of a discovery that counts anew. */
+    private EndpointUpdate update(boolean snapshot) {
         if (chance(0.01)) {
             version = 1 + random.nextInt(5);
         }
         version += random.nextInt(3);
-        long told = chance(0.1) ? Math.max(1, version - random.nextInt(4)) : version;
-        RequestRouter.Scope scope = !whole
+        long sent = chance(0.1) ? Math.max(1, version - random.nextInt(4)) : version;
+        RequestRouter.Scope scope = !snapshot
                 ? RequestRouter.Scope.CHANGES
                 : chance(0.2) ? RequestRouter.Scope.CACHED : RequestRouter.Scope.COMPLETE;
-        return new EndpointUpdate(told, scope, List.of());
+        return new EndpointUpdate(sent, scope, List.of());
     }
 }
