--- a/src/main/java/dunlinladder/core/Dispatcher.java
+++ b/src/main/java/dunlinladder/core/Dispatcher.java
@@ -197,7 +197,7 @@
         Request request = entry.request;
         Engine engine = engines.find(send.engine());
         // A client that hears nothing by its deadline asks again elsewhere: the answer must be there before.
-        double latest = request.deadline() - limits.answerSeconds();
+        double latest = request.deadline() - limits.answerMarginSeconds();
         double until = send.timeout() > 0 ? Math.min(latest, clock.now() + send.timeout()) : latest;
         Attempt attempt = new Attempt(
                 request,
--- a/src/main/java/dunlinladder/core/Limits.java
+++ b/src/main/java/dunlinladder/core/Limits.java
@@ -1,59 +1,304 @@
 package dunlinladder.core;
 
 /**
- * All sizes, counts and times that bound the gateway; filled once at the start and handed down.
+ * All sizes, counts and times that bound the gateway, grouped by what they bound; filled once at the start and handed
+ * down. Every value is 0 or more. The accessors beside the groups spare the callers, each of which needs a few values
+ * of several groups, the way through the group.
  *
- * @param bodyBytes longest request body that is taken
- * @param bodiesBytes sum of all request bodies that are held at once
- * @param headBytes longest head, of a request or an answer
- * @param chunkBytes longest chunk of a body
- * @param eventBytes longest event of a stream
- * @param interimAnswers 1xx answers that may go before an answer
- * @param answerBytes longest engine answer that is kept whole (reads, errors)
- * @param requests requests driven at once, each on a thread
- * @param clientConnections client connections held at once
- * @param engineConnections engine connections held at once, idle ones included
- * @param connectSeconds until a connection that does not come up counts as failed
- * @param idleSeconds after which an idle engine connection is dropped, well before its engine does
- * @param restSeconds from an answer's end until its connection is used again
- * @param distrustSeconds without reuse after a kept connection broke under its next request
- * @param streamSeconds silence in the midst of a stream after which it counts as broken
- * @param releaseSeconds wait for the answer to a release before another engine is asked
- * @param releaseTries engines asked to release one request
- * @param gateSeconds for which a send waits while news of the engine list is there and not yet read
- * @param retryAfterSeconds advice on refusals for which the module gives none
- * @param requestSeconds for a client to send a request, and to be without one, before it is closed
- * @param answerSeconds before the client's deadline at which an attempt without a first token ends
- * @param stallSeconds for which a client may take nothing of its answer
- * @param evictSeconds without a request after which a connection may make room for another
- * @param drainSeconds from SIGTERM until no new connection is accepted
- * @param pulseSeconds between two looks at how far this process itself is behind
- * @param lagSeconds by which it may be behind; over that new requests wait
+ * @param messages sizes of HTTP messages, in either direction
+ * @param engineResponses sizes of what engines answer
+ * @param capacity what is held at once
+ * @param engineConnectionTimes times of the connections to engines
+ * @param attempts times of one attempt
+ * @param releases bounds on telling engines to free a KV cache
+ * @param clients times of the connections to clients
+ * @param process times of this process itself
  */
 public record Limits(
-        int bodyBytes,
-        long bodiesBytes,
-        int headBytes,
-        int chunkBytes,
-        int eventBytes,
-        int interimAnswers,
-        int answerBytes,
-        int requests,
-        int clientConnections,
-        int engineConnections,
-        double connectSeconds,
-        double idleSeconds,
-        double restSeconds,
-        double distrustSeconds,
-        double streamSeconds,
-        double releaseSeconds,
-        int releaseTries,
-        double gateSeconds,
-        double retryAfterSeconds,
-        double requestSeconds,
-        double answerSeconds,
-        double stallSeconds,
-        double evictSeconds,
-        double drainSeconds,
-        double pulseSeconds,
-        double lagSeconds) {}
+        MessageLimits messages,
+        EngineResponseLimits engineResponses,
+        CapacityLimits capacity,
+        EngineConnectionTimes engineConnectionTimes,
+        AttemptTimes attempts,
+        ReleaseLimits releases,
+        ClientTimes clients,
+        ProcessTimes process) {
+
+    /**
+     * Sizes of HTTP messages.
+     *
+     * @param headBytes longest head of a request or a response
+     * @param chunkBytes longest chunk of a body
+     * @param bodyBytes longest body of a request
+     * @param totalBodyBytes sum of the bodies of all requests that are held at once
+     */
+    public record MessageLimits(int headBytes, int chunkBytes, int bodyBytes, long totalBodyBytes) {
+
+        /** Checks the values. */
+        public MessageLimits {
+            requireNotNegative(headBytes, "headBytes");
+            requireNotNegative(chunkBytes, "chunkBytes");
+            requireNotNegative(bodyBytes, "bodyBytes");
+            requireNotNegative(totalBodyBytes, "totalBodyBytes");
+        }
+    }
+
+    /**
+     * Sizes of what engines answer.
+     *
+     * @param interimResponses responses with a status 1xx that may precede a response
+     * @param eventBytes longest event of a stream
+     * @param responseBytes how much of a response that is no stream is kept (prefill answers, errors)
+     */
+    public record EngineResponseLimits(int interimResponses, int eventBytes, int responseBytes) {
+
+        /** Checks the values. */
+        public EngineResponseLimits {
+            requireNotNegative(interimResponses, "interimResponses");
+            requireNotNegative(eventBytes, "eventBytes");
+            requireNotNegative(responseBytes, "responseBytes");
+        }
+    }
+
+    /**
+     * What is held at once.
+     *
+     * @param requests requests in flight, each of which takes a thread
+     * @param clientConnections connections of clients
+     * @param engineConnections connections to engines, idle ones included
+     */
+    public record CapacityLimits(int requests, int clientConnections, int engineConnections) {
+
+        /** Checks the values. */
+        public CapacityLimits {
+            requireNotNegative(requests, "requests");
+            requireNotNegative(clientConnections, "clientConnections");
+            requireNotNegative(engineConnections, "engineConnections");
+        }
+    }
+
+    /**
+     * Times of the connections to engines.
+     *
+     * @param connectSeconds until a connection that does not come up counts as failed
+     * @param idleSeconds after which an idle connection is closed, well before its engine closes it
+     * @param reuseDelaySeconds from the end of a response until its connection is used again
+     * @param reuseSuspensionSeconds without reuse after a reused connection broke under its next request
+     */
+    public record EngineConnectionTimes(
+            double connectSeconds, double idleSeconds, double reuseDelaySeconds, double reuseSuspensionSeconds) {
+
+        /** Checks the values. */
+        public EngineConnectionTimes {
+            requireNotNegative(connectSeconds, "connectSeconds");
+            requireNotNegative(idleSeconds, "idleSeconds");
+            requireNotNegative(reuseDelaySeconds, "reuseDelaySeconds");
+            requireNotNegative(reuseSuspensionSeconds, "reuseSuspensionSeconds");
+        }
+    }
+
+    /**
+     * Times of one attempt.
+     *
+     * @param sendGuardSeconds for which a send waits at most while an endpoint update has arrived and is not yet read
+     * @param answerMarginSeconds before the client's deadline at which an attempt without a first token ends
+     * @param streamSeconds silence within a stream after which the stream counts as broken
+     */
+    public record AttemptTimes(double sendGuardSeconds, double answerMarginSeconds, double streamSeconds) {
+
+        /** Checks the values. */
+        public AttemptTimes {
+            requireNotNegative(sendGuardSeconds, "sendGuardSeconds");
+            requireNotNegative(answerMarginSeconds, "answerMarginSeconds");
+            requireNotNegative(streamSeconds, "streamSeconds");
+        }
+    }
+
+    /**
+     * Bounds on telling engines to free the KV cache of a request.
+     *
+     * @param releaseSeconds wait for the answer of one engine before another is asked
+     * @param releaseAttempts engines that are asked at most
+     */
+    public record ReleaseLimits(double releaseSeconds, int releaseAttempts) {
+
+        /** Checks the values. */
+        public ReleaseLimits {
+            requireNotNegative(releaseSeconds, "releaseSeconds");
+            requireNotNegative(releaseAttempts, "releaseAttempts");
+        }
+    }
+
+    /**
+     * Times of the connections to clients.
+     *
+     * @param requestSeconds for a client to send a request, and to be without one, before its connection is closed
+     * @param stallSeconds for which a client may read nothing of its response
+     * @param evictSeconds without a request after which a connection may be closed to admit another
+     * @param retryAfterSeconds advice on rejections for which the routing policy gives none
+     */
+    public record ClientTimes(
+            double requestSeconds, double stallSeconds, double evictSeconds, double retryAfterSeconds) {
+
+        /** Checks the values. */
+        public ClientTimes {
+            requireNotNegative(requestSeconds, "requestSeconds");
+            requireNotNegative(stallSeconds, "stallSeconds");
+            requireNotNegative(evictSeconds, "evictSeconds");
+            requireNotNegative(retryAfterSeconds, "retryAfterSeconds");
+        }
+    }
+
+    /**
+     * Times of this process itself.
+     *
+     * @param lagCheckSeconds between two measurements of this process's scheduling lag
+     * @param maxLagSeconds scheduling lag over which new requests wait
+     * @param drainSeconds from SIGTERM until no new connection is accepted
+     */
+    public record ProcessTimes(double lagCheckSeconds, double maxLagSeconds, double drainSeconds) {
+
+        /** Checks the values. */
+        public ProcessTimes {
+            requireNotNegative(lagCheckSeconds, "lagCheckSeconds");
+            requireNotNegative(maxLagSeconds, "maxLagSeconds");
+            requireNotNegative(drainSeconds, "drainSeconds");
+        }
+    }
+
+    private static void requireNotNegative(double value, String name) {
+        if (!(value >= 0)) {
+            throw new IllegalArgumentException(name + " is " + value + ", but must be 0 or more");
+        }
+    }
+
+    /** See {@link MessageLimits}. */
+    public int headBytes() {
+        return messages.headBytes();
+    }
+
+    /** See {@link MessageLimits}. */
+    public int chunkBytes() {
+        return messages.chunkBytes();
+    }
+
+    /** See {@link MessageLimits}. */
+    public int bodyBytes() {
+        return messages.bodyBytes();
+    }
+
+    /** See {@link MessageLimits}. */
+    public long totalBodyBytes() {
+        return messages.totalBodyBytes();
+    }
+
+    /** See {@link EngineResponseLimits}. */
+    public int interimResponses() {
+        return engineResponses.interimResponses();
+    }
+
+    /** See {@link EngineResponseLimits}. */
+    public int eventBytes() {
+        return engineResponses.eventBytes();
+    }
+
+    /** See {@link EngineResponseLimits}. */
+    public int responseBytes() {
+        return engineResponses.responseBytes();
+    }
+
+    /** See {@link CapacityLimits}. */
+    public int requests() {
+        return capacity.requests();
+    }
+
+    /** See {@link CapacityLimits}. */
+    public int clientConnections() {
+        return capacity.clientConnections();
+    }
+
+    /** See {@link CapacityLimits}. */
+    public int engineConnections() {
+        return capacity.engineConnections();
+    }
+
+    /** See {@link EngineConnectionTimes}. */
+    public double connectSeconds() {
+        return engineConnectionTimes.connectSeconds();
+    }
+
+    /** See {@link EngineConnectionTimes}. */
+    public double idleSeconds() {
+        return engineConnectionTimes.idleSeconds();
+    }
+
+    /** See {@link EngineConnectionTimes}. */
+    public double reuseDelaySeconds() {
+        return engineConnectionTimes.reuseDelaySeconds();
+    }
+
+    /** See {@link EngineConnectionTimes}. */
+    public double reuseSuspensionSeconds() {
+        return engineConnectionTimes.reuseSuspensionSeconds();
+    }
+
+    /** See {@link AttemptTimes}. */
+    public double sendGuardSeconds() {
+        return attempts.sendGuardSeconds();
+    }
+
+    /** See {@link AttemptTimes}. */
+    public double answerMarginSeconds() {
+        return attempts.answerMarginSeconds();
+    }
+
+    /** See {@link AttemptTimes}. */
+    public double streamSeconds() {
+        return attempts.streamSeconds();
+    }
+
+    /** See {@link ReleaseLimits}. */
+    public double releaseSeconds() {
+        return releases.releaseSeconds();
+    }
+
+    /** See {@link ReleaseLimits}. */
+    public int releaseAttempts() {
+        return releases.releaseAttempts();
+    }
+
+    /** See {@link ClientTimes}. */
+    public double requestSeconds() {
+        return clients.requestSeconds();
+    }
+
+    /** See {@link ClientTimes}. */
+    public double stallSeconds() {
+        return clients.stallSeconds();
+    }
+
+    /** See {@link ClientTimes}. */
+    public double evictSeconds() {
+        return clients.evictSeconds();
+    }
+
+    /** See {@link ClientTimes}. */
+    public double retryAfterSeconds() {
+        return clients.retryAfterSeconds();
+    }
+
+    /** See {@link ProcessTimes}. */
+    public double lagCheckSeconds() {
+        return process.lagCheckSeconds();
+    }
+
+    /** See {@link ProcessTimes}. */
+    public double maxLagSeconds() {
+        return process.maxLagSeconds();
+    }
+
+    /** See {@link ProcessTimes}. */
+    public double drainSeconds() {
+        return process.drainSeconds();
+    }
+}
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -65,18 +65,18 @@
         this.limits = config.limits();
         Clock clock = new Clock();
         EngineConnectionPool connections = new EngineConnectionPool(limits, timer);
-        SendGuard gate = new SendGuard(engines, clock, limits.gateSeconds());
+        SendGuard gate = new SendGuard(engines, clock, limits.sendGuardSeconds());
         client = new EngineClient(connections, engines, gate, clock, limits, timer);
         SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections);
         decisions = new BlockingRequestRouter(
-                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.lagSeconds());
+                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.maxLagSeconds());
         timer.scheduleWithFixedDelay(
                 () -> {
                     pulse.beat();
                     decisions.pulse();
                 },
                 0,
-                (long) (limits.pulseSeconds() * 1e6),
+                (long) (limits.lagCheckSeconds() * 1e6),
                 TimeUnit.MICROSECONDS);
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
                 4, limits.requests(), 10, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, "request"));
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -268,7 +268,7 @@
     public void consume(ByteBuffer source) throws IOException {
         int size = source.remaining();
         if (status != 200) {
-            for (int room = limits.answerBytes() - answer.size(); room > 0 && source.hasRemaining(); room--) {
+            for (int room = limits.responseBytes() - answer.size(); room > 0 && source.hasRemaining(); room--) {
                 answer.write(source.get());
             }
             source.position(source.limit());
--- a/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
@@ -74,7 +74,7 @@
         this.limits = limits;
         this.connectTimeout = Timeout.ofMilliseconds((long) (limits.connectSeconds() * 1000));
         this.timer = timer;
-        this.distrustedAt = System.nanoTime() - (long) (limits.distrustSeconds() * 1e9) - 1;
+        this.distrustedAt = System.nanoTime() - (long) (limits.reuseSuspensionSeconds() * 1e9) - 1;
         this.config = MessageHeadParser.config(limits);
         // The pool's own limit for a route is 5 by default; here only the total binds.
         pool = new StrictConnPool<>(
@@ -115,7 +115,7 @@
                         new MessageHeadParser<>(
                                 new DefaultHttpResponseParserFactory(config).create(),
                                 limits.headBytes(),
-                                limits.interimAnswers()),
+                                limits.interimResponses()),
                         DefaultHttpRequestWriterFactory.INSTANCE.create(),
                         null,
                         null,
@@ -175,7 +175,7 @@
     private void connect(HttpHost host, PoolEntry<HttpHost, IOSession> entry, Waiting waiting) {
         if (entry.hasConnection()
                 && entry.getConnection().isOpen()
-                && System.nanoTime() - distrustedAt > limits.distrustSeconds() * 1e9) {
+                && System.nanoTime() - distrustedAt > limits.reuseSuspensionSeconds() * 1e9) {
             waiting.connected(entry, true);
             return;
         }
@@ -234,7 +234,7 @@
                     entry.updateExpiry(TimeValue.ofMilliseconds((long) (limits.idleSeconds() * 1000)));
                     pool.release(entry, entry.getConnection().isOpen());
                 },
-                (long) (limits.restSeconds() * 1e6),
+                (long) (limits.reuseDelaySeconds() * 1e6),
                 TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/dunlinladder/transport/engine/ReleaseCall.java
+++ b/src/main/java/dunlinladder/transport/engine/ReleaseCall.java
@@ -66,7 +66,7 @@
             if (done) {
                 return;
             }
-            if (tries < limits.releaseTries() && order.hasNext()) {
+            if (tries < limits.releaseAttempts() && order.hasNext()) {
                 tries++;
                 open++;
                 ReleaseCall call = new ReleaseCall(this, order.next());
--- a/src/main/java/dunlinladder/transport/http/ServerExchange.java
+++ b/src/main/java/dunlinladder/transport/http/ServerExchange.java
@@ -72,7 +72,7 @@
         this.dispatcher = dispatcher;
         this.closing = closing;
         this.mostBody = limits.bodyBytes();
-        this.mostBodies = limits.bodiesBytes();
+        this.mostBodies = limits.totalBodyBytes();
         this.bodies = bodies;
     }
 
--- a/src/test/java/dunlinladder/core/DispatcherTest.java
+++ b/src/test/java/dunlinladder/core/DispatcherTest.java
@@ -138,7 +138,7 @@
     }
 
     private void take(int serviceClass) {
-        Limits limits = new Limits(0, 0, 0, 0, 0, 0, 0, 10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0.04, 0, 0, 0, 0, 0);
+        Limits limits = LimitsBuilder.limits().requests(10).build();
         dispatcher = new Dispatcher(decider, engines, calls, Runnable::run, clock, limits, POLICY);
         assertTrue(dispatcher.submit(
                 new Request("id", serviceClass, 0, 1, 0, 10, 0, 10, clock.now() + 5, false, false, null), client));
--- /dev/null
+++ b/src/test/java/dunlinladder/core/LimitsBuilder.java
@@ -0,0 +1,40 @@
+package dunlinladder.core;
+
+/** Limits for tests, all of them valid; a test sets by name only what it is about. */
+public final class LimitsBuilder {
+
+    private int requests = 10;
+    private double releaseSeconds = 0.15;
+
+    private LimitsBuilder() {}
+
+    /** Starts from limits that suit a test on one machine. */
+    public static LimitsBuilder limits() {
+        return new LimitsBuilder();
+    }
+
+    /** Sets how many requests may be in flight at once. */
+    public LimitsBuilder requests(int count) {
+        requests = count;
+        return this;
+    }
+
+    /** Sets the wait for the answer to a release, in seconds. */
+    public LimitsBuilder releaseSeconds(double seconds) {
+        releaseSeconds = seconds;
+        return this;
+    }
+
+    /** The limits. */
+    public Limits build() {
+        return new Limits(
+                new Limits.MessageLimits(16384, 16384, 1024, 1024),
+                new Limits.EngineResponseLimits(16, 16384, 4096),
+                new Limits.CapacityLimits(requests, 10, 10),
+                new Limits.EngineConnectionTimes(5, 10, 0.02, 30),
+                new Limits.AttemptTimes(0.02, 0.04, 4),
+                new Limits.ReleaseLimits(releaseSeconds, 4),
+                new Limits.ClientTimes(2.5, 10, 0.1, 1),
+                new Limits.ProcessTimes(0.05, 0.25, 0.6));
+    }
+}
--- a/src/test/java/dunlinladder/transport/engine/EngineConnectionPoolTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineConnectionPoolTest.java
@@ -7,6 +7,7 @@
 import dunlinladder.core.Engine;
 import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
+import dunlinladder.core.LimitsBuilder;
 import dunlinladder.core.RequestRouter;
 import dunlinladder.core.SendGuard;
 import java.net.InetAddress;
@@ -29,37 +30,7 @@
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class EngineConnectionPoolTest {
 
-    static final Limits LIMITS = limits(0.25);
-
-    private static Limits limits(double releaseSeconds) {
-        return new Limits(
-                1024,
-                1024,
-                16384,
-                16384,
-                16384,
-                16,
-                4096,
-                10,
-                10,
-                10,
-                5,
-                10,
-                0.02,
-                30,
-                4,
-                releaseSeconds,
-                4,
-                0.02,
-                1,
-                2.5,
-                0.04,
-                10,
-                0.1,
-                0.6,
-                0.05,
-                0.25);
-    }
+    static final Limits LIMITS = LimitsBuilder.limits().releaseSeconds(0.25).build();
 
     private static PoolEntry<HttpHost, IOSession> lease(EngineConnectionPool connections, String address) {
         CompletableFuture<PoolEntry<HttpHost, IOSession>> leased = new CompletableFuture<>();
@@ -163,7 +134,7 @@
     @Test
     void aReleaseLeavesAZoneThatIsCutOff() throws Exception {
         // The second silence ends the chain: it has to be longer than any stall of the machine.
-        Limits patient = limits(1.5);
+        Limits patient = LimitsBuilder.limits().releaseSeconds(1.5).build();
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         HttpServer alive = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 5);
         CompletableFuture<String> asked = new CompletableFuture<>();
@@ -184,7 +155,7 @@
             EngineRegistry engines = new EngineRegistry();
             String address = "127.0.0.1:" + alive.getAddress().getPort();
             List<Engine> listed = new ArrayList<>(List.of(engine("alive", address, 1)));
-            for (int i = 0; i < patient.releaseTries(); i++) {
+            for (int i = 0; i < patient.releaseAttempts(); i++) {
                 cut.add(new ServerSocket(0, 100, InetAddress.getLoopbackAddress()));
                 String silent = "127.0.0.1:" + cut.get(i).getLocalPort();
                 listed.add(engine("cut-" + i, silent, 0));
--- a/src/test/java/dunlinladder/transport/http/ClientConnectionTest.java
+++ b/src/test/java/dunlinladder/transport/http/ClientConnectionTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import dunlinladder.core.Limits;
+import dunlinladder.core.LimitsBuilder;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,9 +18,7 @@
 /** A close that another thread decides while a request's head comes. */
 class ClientConnectionTest {
 
-    private static final Limits LIMITS = new Limits(
-            1024, 1024, 16384, 16384, 16384, 16, 4096, 10, 10, 10, 5, 10, 0.02, 30, 4, 0.15, 4, 0.02, 1, 2.5, 0.04, 10,
-            0.1, 0.6, 0.05, 0.25);
+    private static final Limits LIMITS = LimitsBuilder.limits().build();
     private static final String HEAD = "POST /v1 HTTP/1.1\nHost: x\nContent-Length: 4\n\n";
 
     private final List<String> done = new ArrayList<>();
