--- a/src/main/java/dunlinladder/core/Attempt.java
+++ b/src/main/java/dunlinladder/core/Attempt.java
@@ -1,11 +1,13 @@
 package dunlinladder.core;
 
 /**
- * One send of a request to one engine. All of it is fixed when it is sent and travels with it: what the list says of
- * the engine later changes nothing.
+ * One request sent to one engine, once. All of it is fixed when the attempt is made: what the engine list says later
+ * changes nothing.
  *
+ * @param request the request that is sent
  * @param number counted from 0 within the request
- * @param until clock time at which the gateway stops waiting for the first token
- * @param effect whether it can have an effect: false at an engine that only reads
+ * @param engine the engine as it was listed when the attempt was made
+ * @param firstTokenDeadline clock time in seconds until which the gateway waits for the first token
+ * @param mayHaveEffect whether the attempt can have an effect: false at an engine that only prefills
  */
-public record Attempt(Request request, int number, Engine engine, double until, boolean effect) {}
+public record Attempt(Request request, int number, Engine engine, double firstTokenDeadline, boolean mayHaveEffect) {}
--- a/src/main/java/dunlinladder/core/AttemptHistory.java
+++ b/src/main/java/dunlinladder/core/AttemptHistory.java
@@ -2,19 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What is certain of one request's attempts, as facts of the moment at which each was sent and of how it ended. Whether
- * the request may have run is told from here alone: not from the list, which may have lost the engine meanwhile, nor
- * from the decisions, which go by what is likely.
+ * What is certain of one request's attempts: facts of the moment at which each was sent, and how it ended. Whether the
+ * request may have run follows from these facts alone, not from the engine list, which may have lost the engine
+ * meanwhile, nor from the routing policy, which goes by what is likely.
  *
- * <p>Used by one thread at a time.
+ * <p>Not safe for use by several threads: the thread that drives the request owns it.
  */
 public final class AttemptHistory {
 
-    private final List<Entry> entries = new ArrayList<>(4);
+    /** Room for the attempts of an ordinary request: a prefill, a decode and a retry of each. */
+    private static final int USUAL_ATTEMPTS = 4;
 
-    /** One attempt; {@code outcome} is null while it is out. */
+    private final List<Entry> entries = new ArrayList<>(USUAL_ATTEMPTS);
+
+    /** One attempt; times are clock seconds, and {@code outcome} is null until the attempt has ended. */
     private static final class Entry {
         final Attempt attempt;
         final double sentAt;
@@ -27,54 +31,69 @@
         }
 
         boolean mayHaveRun() {
-            return attempt.effect() && (outcome == null || !outcome.ending().neverRan());
+            return attempt.mayHaveEffect()
+                    && (outcome == null || !outcome.ending().neverRan());
         }
     }
 
-    /** An attempt is about to be sent. */
-    public void sent(Attempt attempt, double now) {
+    /** Records that an attempt is about to be sent, at clock time {@code now} in seconds. */
+    public void recordSent(Attempt attempt, double now) {
         entries.add(new Entry(attempt, now));
     }
 
-    /** The attempt that was sent last has ended. */
-    public void ended(Outcome outcome, double now) {
-        Entry last = entries.get(entries.size() - 1);
+    /** Records how the attempt that was sent last ended, at clock time {@code now} in seconds. */
+    public void recordEnd(Outcome outcome, double now) {
+        Entry last = last();
         last.outcome = outcome;
         last.endedAt = now;
     }
 
-    /** How many attempts there were. */
+    /** The number of attempts so far, the one in flight included. */
     public int size() {
         return entries.size();
     }
 
-    /** Whether any attempt may have had an effect; one that is still out may. */
+    /** Whether any attempt may have had an effect; one that is still in flight may. */
     public boolean mayHaveRun() {
         return entries.stream().anyMatch(Entry::mayHaveRun);
     }
 
-    /** How the last attempt ended; null where there was none. */
-    public Outcome last() {
-        return entries.isEmpty() ? null : entries.get(entries.size() - 1).outcome;
+    /** How the last attempt ended; empty where there was none or it is still in flight. */
+    public Optional<Outcome> lastOutcome() {
+        return entries.isEmpty() ? Optional.empty() : Optional.ofNullable(last().outcome);
     }
 
-    /** One line for the log, times in seconds from the first send. */
-    @Override
-    public String toString() {
+    private Entry last() {
+        return entries.get(entries.size() - 1);
+    }
+
+    /** All attempts in one line for the log, times in seconds from the first send. */
+    public String logText() {
         StringBuilder text = new StringBuilder("[");
         for (Entry entry : entries) {
-            text.append(text.length() > 1 ? "; " : "")
-                    .append(entry.attempt.number())
-                    .append(" at ")
-                    .append(entry.attempt.engine().id())
-                    .append(entry.attempt.effect() ? "" : " reads")
-                    .append(' ')
-                    .append(Seconds.text(entry.sentAt - entries.get(0).sentAt))
-                    .append('-')
-                    .append(Seconds.text(Math.max(entry.sentAt, entry.endedAt) - entries.get(0).sentAt))
-                    .append(' ')
-                    .append(entry.outcome == null ? "out" : entry.outcome.ending());
+            if (text.length() > 1) {
+                text.append("; ");
+            }
+            append(text, entry, entries.get(0).sentAt);
         }
         return text.append(']').toString();
     }
+
+    private static void append(StringBuilder text, Entry entry, double firstSentAt) {
+        text.append(entry.attempt.number())
+                .append(" at ")
+                .append(entry.attempt.engine().id())
+                .append(entry.attempt.mayHaveEffect() ? "" : " prefill_only")
+                .append(' ')
+                .append(Seconds.text(entry.sentAt - firstSentAt))
+                .append('-')
+                .append(Seconds.text(Math.max(entry.sentAt, entry.endedAt) - firstSentAt))
+                .append(' ')
+                .append(entry.outcome == null ? "in flight" : entry.outcome.ending());
+    }
+
+    @Override
+    public String toString() {
+        return logText();
+    }
 }
--- a/src/main/java/dunlinladder/core/Clock.java
+++ b/src/main/java/dunlinladder/core/Clock.java
@@ -6,11 +6,14 @@
  */
 public final class Clock {
 
-    private final double base = System.currentTimeMillis() / 1e3;
-    private final long from = System.nanoTime();
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The time now. */
+    private final double startSeconds = System.currentTimeMillis() / MILLIS_PER_SECOND;
+    private final long startNanos = System.nanoTime();
+
+    /** The time now, in seconds. */
     public double now() {
-        return base + (System.nanoTime() - from) / 1e9;
+        return startSeconds + (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 }
--- a/src/main/java/dunlinladder/core/Dispatcher.java
+++ b/src/main/java/dunlinladder/core/Dispatcher.java
@@ -7,277 +7,165 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Holds the requests that are taken and drives each to its single final answer. */
+/**
+ * Accepts requests and drives each, on a thread of its own, to its single final answer: it asks the
+ * {@link RequestRouter} what is to be done next, and does it, until nothing is owed to the client any more.
+ */
 public final class Dispatcher {
 
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
 
-    private final RequestRouter decider;
-    private final EngineRegistry engines;
-    private final EngineTransport calls;
-    private final Executor pool;
+    private final RequestRouter router;
+    private final Executor executor;
     private final Clock clock;
-    private final Limits limits;
-    private final Policy policy;
-    private final Map<String, InFlightRequest> held = new ConcurrentHashMap<>();
+    private final Settings settings;
+    private final AttemptRunner attempts;
+    private final Map<String, InFlightRequest> inFlight = new ConcurrentHashMap<>();
 
-    /** What the deployment says of classes and machine kinds. */
-    public interface Policy {
-
-        /** Whether requests of a class must not run twice. */
-        boolean once(int serviceClass);
-
-        /** Whether machines of a kind only read, which has no effect. */
-        boolean readsOnly(int kind);
-    }
-
-    /** What is kept of a request that is being driven. */
-    private static final class InFlightRequest {
-        final Request request;
-        final ResponseSink client;
-        /** Clock time at which it was taken. */
-        final double takenAt;
-
-        EngineTransport.Call call;
-        boolean gone;
-
-        InFlightRequest(Request request, ResponseSink client, double takenAt) {
-            this.request = request;
-            this.client = client;
-            this.takenAt = takenAt;
-        }
-
-        synchronized void sent(EngineTransport.Call started) {
-            call = started;
-            if (gone) {
-                started.abandon();
-            }
-        }
-
-        synchronized void leave() {
-            gone = true;
-            if (call != null) {
-                call.abandon();
-            }
-        }
-
-        synchronized boolean gone() {
-            return gone;
-        }
-    }
+    /**
+     * What bounds a dispatcher.
+     *
+     * @param maxRequests requests that may be in flight at once
+     * @param answerMarginSeconds before the client's deadline at which an attempt without a first token ends
+     * @param rules which requests must not run twice
+     */
+    public record Settings(int maxRequests, double answerMarginSeconds, ServiceRules rules) {}
 
-    /** Creates a dispatcher that drives each request on a thread of {@code pool}. */
+    /** Creates a dispatcher that drives each request in one task of {@code executor}. */
     public Dispatcher(
-            RequestRouter decider,
+            RequestRouter router,
             EngineRegistry engines,
-            EngineTransport calls,
-            Executor pool,
+            EngineTransport transport,
+            Executor executor,
             Clock clock,
-            Limits limits,
-            Policy policy) {
-        this.decider = decider;
-        this.engines = engines;
-        this.calls = calls;
-        this.pool = pool;
+            Settings settings) {
+        this.router = router;
+        this.executor = executor;
         this.clock = clock;
-        this.limits = limits;
-        this.policy = policy;
+        this.settings = settings;
+        this.attempts = new AttemptRunner(router, engines, transport, clock, settings);
     }
 
-    /** How many requests are being driven. */
+    /** The number of requests in flight. */
     public int activeRequests() {
-        return held.size();
+        return inFlight.size();
     }
 
-    /** Takes a request; false when its id is in use, and then the client is told nothing. */
+    /**
+     * Accepts a request, which then gets exactly one final answer; one for which there is no room gets it at once.
+     *
+     * @return false when a request with this id is in flight already, and then the client gets no answer from here
+     */
     public boolean submit(Request request, ResponseSink client) {
-        InFlightRequest entry = new InFlightRequest(request, client, clock.now());
-        if (held.putIfAbsent(request.id(), entry) != null) {
+        InFlightRequest accepted = new InFlightRequest(request, client, clock.now());
+        if (inFlight.putIfAbsent(request.id(), accepted) != null) {
             return false;
         }
         try {
-            if (held.size() > limits.requests()) {
-                throw new RejectedExecutionException("over " + limits.requests() + " requests");
+            if (inFlight.size() > settings.maxRequests()) {
+                throw new RejectedExecutionException("over " + settings.maxRequests() + " requests");
             }
-            pool.execute(() -> drive(entry));
+            executor.execute(() -> drive(accepted));
         } catch (RejectedExecutionException e) {
-            held.remove(request.id());
-            LOG.warn("request {} refused: {}", request.id(), e.getMessage());
-            client.reject(0);
+            inFlight.remove(request.id());
+            LOG.warn("event=request_not_accepted request={} reason=\"{}\"", request.id(), e.getMessage());
+            client.reject(RoutingDecision.NO_ADVICE);
         }
         return true;
     }
 
-    /** The client closed its connection: ends the request and the attempt that is out. */
+    /** Reports that the client closed its connection: ends the request and the attempt in flight. */
     public void clientDisconnected(String id) {
-        InFlightRequest entry = held.get(id);
-        if (entry != null) {
-            entry.leave();
-            decider.clientDisconnected(id);
+        InFlightRequest request = inFlight.get(id);
+        if (request != null) {
+            request.disconnect();
+            router.clientDisconnected(id);
         }
     }
 
-    private void drive(InFlightRequest entry) {
-        Request request = entry.request;
+    private void drive(InFlightRequest request) {
+        boolean interrupted = false;
         try {
-            run(entry);
-        } catch (InterruptedException | RuntimeException e) {
-            // A fault of our own must not cost the client its final answer.
-            LOG.error("request {} failed inside the gateway", request.id(), e);
-            decider.clientDisconnected(request.id());
-            entry.leave();
-            entry.client.fail(ResponseSink.Failure.INTERNAL);
+            followDecisions(request);
+        } catch (InterruptedException e) {
+            interrupted = true;
+            failInternally(request, e);
+        } catch (RuntimeException e) {
+            // Of any kind: a fault of the gateway's own must not cost the client its final answer.
+            failInternally(request, e);
         } finally {
-            held.remove(request.id());
+            inFlight.remove(request.request().id());
+            if (interrupted) {
+                Thread.currentThread().interrupt();
+            }
         }
     }
 
-    private void run(InFlightRequest entry) throws InterruptedException {
-        Request request = entry.request;
-        AttemptHistory trail = new AttemptHistory();
-        while (true) {
-            RoutingDecision step = decider.nextDecision(request);
-            if (step instanceof RoutingDecision.Forward send) {
-                if (attempt(entry, trail, send)) {
-                    return;
-                }
-            } else {
-                if (step instanceof RoutingDecision.Reject refuse) {
-                    refuse(entry, trail, refuse);
-                } else if (step instanceof RoutingDecision.Fail) {
-                    LOG.debug(
-                            "event=failed request={} class={} attempts={}",
-                            request.id(),
-                            request.serviceClass(),
-                            trail);
-                    entry.client.fail(why(trail));
-                }
-                return;
-            }
-        }
+    private void failInternally(InFlightRequest request, Exception fault) {
+        String id = request.request().id();
+        LOG.error("event=request_error request={}", id, fault);
+        router.clientDisconnected(id);
+        request.disconnect();
+        request.client().fail(ResponseSink.Failure.INTERNAL);
     }
 
-    /** Whether a request that must not run twice may have run. */
-    private boolean spent(Request request, AttemptHistory trail) {
-        return policy.once(request.serviceClass()) && trail.mayHaveRun();
+    private void followDecisions(InFlightRequest request) throws InterruptedException {
+        boolean over = false;
+        while (!over) {
+            over = follow(request, router.nextDecision(request.request()));
+        }
     }
 
-    private boolean effect(Engine engine) {
-        return engine == null || !policy.readsOnly(engine.kind());
+    /** Does what was decided; true when nothing is owed to the client any more. */
+    private boolean follow(InFlightRequest request, RoutingDecision decision) throws InterruptedException {
+        if (decision instanceof RoutingDecision.Forward forward) {
+            return attempts.run(request, forward);
+        }
+        if (decision instanceof RoutingDecision.Reject reject) {
+            reject(request, reject);
+        } else if (decision instanceof RoutingDecision.Fail) {
+            logFinalAnswer("request_failed", request);
+            request.client().fail(failure(request.history()));
+        }
+        return true;
     }
 
     /**
-     * A refusal promises that asking again is harmless. It passes here alone, and only where the facts of all attempts
-     * bear it out: else the request has failed, whatever the decisions made of it.
+     * A rejection promises that a retry is harmless. It is given here alone, and only where the facts of all attempts
+     * bear it out: else the request has failed, whatever the policy made of it.
      */
-    private void refuse(InFlightRequest entry, AttemptHistory trail, RoutingDecision.Reject refuse) {
-        Request request = entry.request;
-        if (spent(request, trail)) {
+    private void reject(InFlightRequest inFlightRequest, RoutingDecision.Reject reject) {
+        Request request = inFlightRequest.request();
+        AttemptHistory history = inFlightRequest.history();
+        if (settings.rules().forbidsRerun(request, history)) {
             LOG.error(
-                    "event=refusal_forbidden request={} class={} attempts={}",
+                    "event=reject_forbidden request={} class={} attempts={}",
                     request.id(),
                     request.serviceClass(),
-                    trail);
-            entry.client.fail(why(trail));
+                    history.logText());
+            inFlightRequest.client().fail(failure(history));
         } else {
-            LOG.debug("event=refused request={} class={} attempts={}", request.id(), request.serviceClass(), trail);
-            entry.client.reject(refuse.retryAfter());
+            logFinalAnswer("request_rejected", inFlightRequest);
+            inFlightRequest.client().reject(reject.retryAfter());
         }
     }
 
-    private static ResponseSink.Failure why(AttemptHistory trail) {
-        return trail.last() != null && trail.last().ending() != Outcome.Ending.TIMEOUT
-                ? ResponseSink.Failure.ENGINE
-                : ResponseSink.Failure.TIMEOUT;
-    }
-
-    /** Makes one attempt; true when the request is over with it. */
-    private boolean attempt(InFlightRequest entry, AttemptHistory trail, RoutingDecision.Forward send)
-            throws InterruptedException {
-        Request request = entry.request;
-        Engine engine = engines.find(send.engine());
-        // A client that hears nothing by its deadline asks again elsewhere: the answer must be there before.
-        double latest = request.deadline() - limits.answerMarginSeconds();
-        double until = send.timeout() > 0 ? Math.min(latest, clock.now() + send.timeout()) : latest;
-        Attempt attempt = new Attempt(
-                request,
-                trail.size(),
-                engine != null ? engine : new Engine(send.engine(), "", 0, 0, 0, Engine.State.LEFT, 0, 0),
-                until,
-                effect(engine));
-        boolean forbidden = spent(request, trail) && attempt.effect();
-        double sentAt = clock.now();
-        trail.sent(attempt, sentAt);
-        if (forbidden) {
-            // Whatever the decisions went by, the facts say that it would run a second time.
-            LOG.error(
-                    "event=send_forbidden request={} class={} attempts={}",
-                    request.id(),
-                    request.serviceClass(),
-                    trail);
-        }
-        if (engine == null || forbidden || entry.gone()) {
-            // Without an engine, because the list lost it since the decision; or the client left since then.
-            return unsent(entry, trail, attempt);
-        }
-        boolean[] begun = {false};
-        double[] firstAt = {0};
-        EngineTransport.Call call;
-        try {
-            call = calls.send(attempt, entry.client, () -> {
-                firstAt[0] = clock.now();
-                begun[0] = true;
-                decider.firstToken(attempt);
-            });
-        } catch (RuntimeException e) {
-            LOG.warn("event=not_sent request={} engine={}", request.id(), engine.id(), e);
-            return unsent(entry, trail, attempt);
-        }
-        entry.sent(call);
-        Outcome outcome = call.await();
-        double endedAt = clock.now();
-        trail.ended(outcome, endedAt);
+    private static void logFinalAnswer(String event, InFlightRequest request) {
         if (LOG.isDebugEnabled()) {
-            // What is needed to count across a fleet; deploy/fleet-counts.py reads it.
             LOG.debug(
-                    "event=attempt request={} class={} attempt={} engine={} reads={} age={} outcome={} "
-                            + "seconds={} since={} first={} prompt={} prefix={} kept={}",
-                    request.id(),
-                    request.serviceClass(),
-                    attempt.number(),
-                    engine.id(),
-                    !attempt.effect(),
-                    engine.startedAt() > 0 ? (long) (endedAt - engine.startedAt()) : "long",
-                    outcome.ending(),
-                    Seconds.text(endedAt - sentAt),
-                    Seconds.text(sentAt - entry.takenAt),
-                    begun[0] ? Seconds.text(firstAt[0] - entry.takenAt) : "-",
-                    (long) request.promptTokens(),
-                    (long) request.prefixTokens(),
-                    (long) outcome.note());
-        }
-        boolean ok = outcome.ending() == Outcome.Ending.OK;
-        boolean rejected = outcome.ending() == Outcome.Ending.REJECTED;
-        boolean last = ok || begun[0] || rejected || entry.gone();
-        decider.attemptEnded(attempt, outcome, last);
-        if (last && !entry.gone()) {
-            if (rejected) {
-                entry.client.fail(ResponseSink.Failure.REQUEST);
-            } else if (ok) {
-                entry.client.complete();
-            } else {
-                entry.client.abortStream();
-            }
+                    "event={} request={} class={} attempts={}",
+                    event,
+                    request.request().id(),
+                    request.request().serviceClass(),
+                    request.history().logText());
         }
-        return last;
     }
 
-    /** Nothing of an attempt was sent; true when the request is over with it. */
-    private boolean unsent(InFlightRequest entry, AttemptHistory trail, Attempt attempt) {
-        boolean gone = entry.gone();
-        Outcome outcome = Outcome.of(Outcome.Ending.CONNECT_FAILED);
-        trail.ended(outcome, clock.now());
-        decider.attemptEnded(attempt, outcome, gone);
-        return gone;
+    /** What the client is told of a failure: the engine's, unless nothing came in time. */
+    private static ResponseSink.Failure failure(AttemptHistory history) {
+        return history.lastOutcome()
+                .filter(outcome -> outcome.ending() != Outcome.Ending.TIMEOUT)
+                .map(outcome -> ResponseSink.Failure.ENGINE)
+                .orElse(ResponseSink.Failure.TIMEOUT);
     }
 }
--- a/src/main/java/dunlinladder/core/EngineRegistry.java
+++ b/src/main/java/dunlinladder/core/EngineRegistry.java
@@ -2,19 +2,24 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The engine list as last told. */
+/** The engine list as discovery last told it. Safe for use by several threads. */
 public final class EngineRegistry {
 
     private final Map<String, Engine> byId = new ConcurrentHashMap<>();
 
-    /** Takes news in; after a whole list, an engine that it lacks is gone. */
-    public void apply(RequestRouter.Scope scope, List<Engine> news) {
+    /**
+     * Applies an update. Unless it holds changes only, an engine that it lacks is no longer listed.
+     *
+     * @param engines in the order of the update: of several entries for one engine the last one counts
+     */
+    public void apply(RequestRouter.Scope scope, List<Engine> engines) {
         if (scope != RequestRouter.Scope.CHANGES) {
-            byId.keySet().retainAll(news.stream().map(Engine::id).toList());
+            byId.keySet().retainAll(engines.stream().map(Engine::id).toList());
         }
-        for (Engine engine : news) {
+        for (Engine engine : engines) {
             if (engine.state() == Engine.State.LEFT) {
                 byId.remove(engine.id());
             } else {
@@ -23,12 +28,12 @@
         }
     }
 
-    /** The engine, or null when the list does not have it. */
-    public Engine find(String id) {
-        return byId.get(id);
+    /** The engine with an id; empty when the list does not have it. */
+    public Optional<Engine> find(String id) {
+        return Optional.ofNullable(byId.get(id));
     }
 
-    /** Whether new work may go to that engine, where it was reached when the work was decided, now. */
+    /** Whether an engine may get new requests now, at the address that was known when it was chosen. */
     public boolean accepts(Engine engine) {
         Engine listed = byId.get(engine.id());
         return listed != null
@@ -36,12 +41,12 @@
                 && listed.address().equals(engine.address());
     }
 
-    /** How many engines are still listed. */
+    /** The number of listed engines, the draining ones included. */
     public int size() {
         return byId.size();
     }
 
-    /** All engines that are still listed. */
+    /** All listed engines, the draining ones included, in no order. */
     public List<Engine> listed() {
         return List.copyOf(byId.values());
     }
--- a/src/main/java/dunlinladder/core/EngineTransport.java
+++ b/src/main/java/dunlinladder/core/EngineTransport.java
@@ -3,19 +3,25 @@
 /** Port to the engines. */
 public interface EngineTransport {
 
-    /** Starts an attempt whose stream goes to the client; {@code first} runs when the stream begins. */
-    Call send(Attempt attempt, ResponseSink client, Runnable first);
+    /**
+     * Begins an attempt.
+     *
+     * @param client gets the stream
+     * @param onFirstToken runs once, on a thread of the transport, when the stream begins and before it is passed on
+     * @throws RuntimeException where the attempt cannot be begun; nothing has been sent then
+     */
+    Call send(Attempt attempt, ResponseSink client, Runnable onFirstToken);
 
-    /** Lets go of everything that is held for a request, at every engine. */
+    /** Tells engines to free the KV cache of a request, wherever it is held; returns at once. */
     void release(String id);
 
-    /** One attempt that is out. */
+    /** One attempt in flight. */
     interface Call {
 
-        /** Waits for the end; gives up at the attempt's {@code until} unless its stream has begun. */
+        /** Waits for the end; times out at the attempt's first-token deadline unless its stream has begun. */
         Outcome await() throws InterruptedException;
 
-        /** Gives the attempt up now. */
+        /** Cancels the attempt; {@link #await} then returns soon. No effect on one that has ended. */
         void abandon();
     }
 }
--- a/src/main/java/dunlinladder/core/RequestRouter.java
+++ b/src/main/java/dunlinladder/core/RequestRouter.java
@@ -2,28 +2,35 @@
 
 import java.util.List;
 
-/** Port to the decisions, in blocking style. */
+/** Port to the routing policy, in blocking style. Safe for use by several threads. */
 public interface RequestRouter {
 
-    /** Waits for the request's next step; the first call makes the request known. */
+    /**
+     * Waits for what is to be done next for a request; the first call makes the request known.
+     *
+     * @throws InterruptedException when the calling thread is interrupted while it waits
+     */
     RoutingDecision nextDecision(Request request) throws InterruptedException;
 
-    /** Reports that an attempt's stream began. */
+    /** Reports that the stream of an attempt began. */
     void firstToken(Attempt attempt);
 
     /** Reports how an attempt ended; {@code last} when nothing is owed to the client any more. */
     void attemptEnded(Attempt attempt, Outcome outcome, boolean last);
 
-    /** Reports that the client left. */
+    /** Reports that the client of a request disconnected. */
     void clientDisconnected(String id);
 
-    /** Reports news of the engine list. */
+    /** Reports an update of the engine list. */
     void endpointsUpdated(Scope scope, List<Engine> engines);
 
-    /** The extent of a list: as last held and maybe stale, all, or what has changed. */
+    /** The extent of an update of the engine list. */
     enum Scope {
+        /** All engines, as discovery last held them; maybe stale. */
         CACHED,
+        /** All engines. */
         COMPLETE,
+        /** Those engines that have changed. */
         CHANGES
     }
 }
--- a/src/main/java/dunlinladder/core/ResponseSink.java
+++ b/src/main/java/dunlinladder/core/ResponseSink.java
@@ -4,34 +4,40 @@
 import java.util.function.IntConsumer;
 
 /**
- * Port to the client's side of a request. Exactly one of {@code end}, {@code cut}, {@code refuse} and {@code fail} is
- * called, once; {@code data} only before {@code end} or {@code cut}.
+ * Port to the client's side of a request. Exactly one of {@code complete}, {@code abortStream}, {@code reject} and
+ * {@code fail} is called, once; {@code writeEvents} only before {@code complete} or {@code abortStream}.
  */
 public interface ResponseSink {
 
     /**
-     * Passes on a piece of the engine's stream; the first one starts the answer. {@code taken} is told how many bytes
-     * were written to the client, for back-pressure.
+     * Passes on events of the engine's stream; the first ones start the response.
+     *
+     * @param events whole events
+     * @param onWritten gets the number of bytes each time some were written to the client, for back-pressure
      */
-    void writeEvents(ByteBuffer piece, IntConsumer taken);
+    void writeEvents(ByteBuffer events, IntConsumer onWritten);
 
-    /** The stream is whole. */
+    /** Final answer: the stream is complete. */
     void complete();
 
-    /** The stream broke after it had started. */
+    /** Final answer: the stream broke after it had started. */
     void abortStream();
 
-    /** Final answer: trying again is harmless; {@code retryAfter} in seconds, 0 for no advice. */
+    /** Final answer: not served, and a retry is harmless; {@code retryAfter} in seconds, 0 for no advice. */
     void reject(double retryAfter);
 
-    /** Final answer: failed, with no promise. */
-    void fail(Failure why);
+    /** Final answer: failed; whether a retry is harmless is not known. */
+    void fail(Failure reason);
 
-    /** What a failure was about. */
+    /** Why a request failed. */
     enum Failure {
+        /** The engine or the way to it. */
         ENGINE,
+        /** Nothing came in time. */
         TIMEOUT,
+        /** A fault of the gateway's own. */
         INTERNAL,
+        /** The engine finds the request itself at fault. */
         REQUEST
     }
 }
--- a/src/main/java/dunlinladder/core/RoutingDecision.java
+++ b/src/main/java/dunlinladder/core/RoutingDecision.java
@@ -3,15 +3,27 @@
 /** What is to be done next for a request. */
 public sealed interface RoutingDecision {
 
-    /** Send it to an engine; {@code timeout} is in seconds, 0 for as long as the client waits. */
+    /** For {@link Reject}: the client is not told when to retry. */
+    double NO_ADVICE = 0;
+
+    /**
+     * Send it to an engine.
+     *
+     * @param engine the engine's id
+     * @param timeout seconds until the first token, 0 for as long as the client waits
+     */
     record Forward(String engine, double timeout) implements RoutingDecision {}
 
-    /** Refuse it: trying again is harmless. {@code retryAfter} is in seconds, 0 for no advice. */
+    /**
+     * Reject it: a retry is harmless.
+     *
+     * @param retryAfter seconds after which the client may retry, {@link #NO_ADVICE} for none
+     */
     record Reject(double retryAfter) implements RoutingDecision {}
 
-    /** Fail it, with no promise. */
+    /** Fail it; whether a retry is harmless is not known. */
     record Fail() implements RoutingDecision {}
 
-    /** The client has left; nothing is owed any more. */
+    /** Do nothing more: the client has left. */
     record Discard() implements RoutingDecision {}
 }
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -5,6 +5,7 @@
 import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
 import dunlinladder.core.SendGuard;
+import dunlinladder.core.ServiceRules;
 import dunlinladder.membership.EndpointUpdate;
 import dunlinladder.migration.EngineEligibility;
 import dunlinladder.migration.Generation;
@@ -80,7 +81,14 @@
                 TimeUnit.MICROSECONDS);
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
                 4, limits.requests(), 10, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, "request"));
-        dispatcher = new Dispatcher(decisions, engines, client, pool, clock, limits, policy(config.settings()));
+        dispatcher = new Dispatcher(
+                decisions,
+                engines,
+                client,
+                pool,
+                clock,
+                new Dispatcher.Settings(
+                        limits.requests(), limits.answerMarginSeconds(), serviceRules(config.settings())));
         AtomicLong bodies = new AtomicLong();
         PlatformExchange.Shared shared = new PlatformExchange.Shared(
                 dispatcher,
@@ -108,15 +116,15 @@
         timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
     }
 
-    private static Dispatcher.Policy policy(Router.Settings settings) {
-        return new Dispatcher.Policy() {
+    private static ServiceRules serviceRules(Router.Settings settings) {
+        return new ServiceRules() {
             @Override
-            public boolean once(int serviceClass) {
+            public boolean isNonIdempotent(int serviceClass) {
                 return settings.classes().get(serviceClass).effect() == Router.Effect.UNSAFE;
             }
 
             @Override
-            public boolean readsOnly(int kind) {
+            public boolean isPrefillOnly(int kind) {
                 return kind < settings.roleByKind().size()
                         && settings.roleByKind().get(kind) == Router.Role.PREFILL;
             }
--- a/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
+++ b/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
@@ -108,10 +108,10 @@
                         request.prefix(),
                         request.promptTokens(),
                         request.prefixTokens(),
-                        request.maxOut(),
+                        request.maxOutputTokens(),
                         request.retry(),
                         request.returned(),
-                        request.fits())));
+                        request.eligible())));
             }
             while (entry.steps.isEmpty() && !entry.gone) {
                 entry.ready.await();
--- a/src/main/java/dunlinladder/transport/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -191,7 +191,7 @@
                             now + shared.settings.deadlines().get(request.kind().serviceClass()),
                             this,
                             engine -> {
-                                Engine listed = shared.engines.find(engine);
+                                Engine listed = shared.engines.find(engine).orElse(null);
                                 return listed != null && shared.routing.may(listed, ask, shared.clock.now());
                             }),
                     this);
@@ -293,7 +293,7 @@
         double now = shared.clock.now();
         if (outcome.ending() == Outcome.Ending.PREFILLED) {
             ask.readBy(sentIn);
-        } else if (outcome.ending() == Outcome.Ending.FULL && outcome.note() == 1) {
+        } else if (outcome.isKvCacheMissing()) {
             ask.readBy(null);
         }
         if (outcome.ending() == Outcome.Ending.ERROR && ErrorTranslator.knowsNot(status, null)) {
--- a/src/main/java/dunlinladder/transport/chat/ChatRequest.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatRequest.java
@@ -163,14 +163,9 @@
                 id,
                 kind.serviceClass(),
                 tenant,
-                session,
-                prefix,
-                promptTokens,
-                prefixTokens,
-                maxOut,
+                new Request.Prompt(session, prefix, promptTokens, prefixTokens, maxOut),
                 deadline,
-                false,
-                false,
+                Request.Resubmission.NONE,
                 payload,
                 fits);
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -113,7 +113,7 @@
      */
     private synchronized double waitsUntil() {
         return phase != Phase.STREAMING
-                ? attempt.until()
+                ? attempt.firstTokenDeadline()
                 : (untaken > 0 ? clock.now() : heardAt) + limits.streamSeconds();
     }
 
@@ -173,7 +173,7 @@
         BasicHttpRequest request = new BasicHttpRequest(forward.method(), forward.target());
         request.setAuthority(EngineConnectionPool.authority(attempt.engine()));
         request.setHeader("X-Request-ID", attempt.request().id());
-        request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.until() - clock.now())));
+        request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.firstTokenDeadline() - clock.now())));
         boolean empty = !body.hasRemaining();
         if (empty) {
             sent();
@@ -323,7 +323,7 @@
         switch (status) {
             case 200 -> served();
             case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.keptInRead(text), report));
-            case 410 -> settle(new Outcome(Ending.FULL, 1, report));
+            case 410 -> settle(Outcome.kvCacheMissing(report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
             default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
         }
--- a/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
@@ -42,21 +42,23 @@
         String prefix = attrs.getOrDefault("prefix", "");
         String session = headers.apply("X-Route-Key");
         String retried = headers.apply("X-Retried");
-        return new Request(
-                id,
-                serviceClass,
-                tenant,
+        Request.Prompt prompt = new Request.Prompt(
                 session == null ? key(id) : key(session),
                 prefix.isEmpty() ? 0 : key(prefix),
                 attrs.containsKey("prompt_len")
                         ? number(attrs.get("prompt_len"), "X-Attrs prompt_len")
                         : forward.body().length / 4.0,
                 number(attrs.getOrDefault("prefix_len", "0"), "X-Attrs prefix_len"),
-                number(attrs.getOrDefault("max_out", "0"), "X-Attrs max_out"),
-                now + wait,
-                retried != null,
-                "again".equals(retried),
-                forward);
+                number(attrs.getOrDefault("max_out", "0"), "X-Attrs max_out"));
+        return new Request(
+                id, serviceClass, tenant, prompt, now + wait, resubmission(retried), forward, Request.ANY_ENGINE);
+    }
+
+    private static Request.Resubmission resubmission(String retried) {
+        if (retried == null) {
+            return Request.Resubmission.NONE;
+        }
+        return retried.equals("again") ? Request.Resubmission.RETURNED : Request.Resubmission.RETRIED;
     }
 
     private static int index(List<String> names, String name, String header) {
--- a/src/test/java/dunlinladder/core/EngineRegistryTest.java
+++ b/src/test/java/dunlinladder/core/EngineRegistryTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** The list of a large fleet whose engines come and go. */
@@ -21,7 +21,7 @@
     @Test
     void idsThatComeAndGoWithinOneChangeEndAsItsLastEntrySays() {
         engines.apply(RequestRouter.Scope.COMPLETE, List.of(engine("x", "10.0.0.1:80", Engine.State.ACTIVE)));
-        Engine before = engines.find("x");
+        Engine before = engines.find("x").orElseThrow();
         Engine back = engine("x", "10.0.0.2:80", Engine.State.ACTIVE);
         Engine brief = engine("y", "10.0.0.3:80", Engine.State.ACTIVE);
         engines.apply(
@@ -34,7 +34,7 @@
                         engine("y", "10.0.0.3:80", Engine.State.LEFT)));
         assertFalse(engines.accepts(before), "decided for the address before the restart");
         assertTrue(engines.accepts(back));
-        assertNull(engines.find("y"));
+        assertEquals(Optional.empty(), engines.find("y"));
         assertFalse(engines.accepts(brief));
     }
 
--- a/src/test/java/dunlinladder/routing/BlockingRequestRouterTest.java
+++ b/src/test/java/dunlinladder/routing/BlockingRequestRouterTest.java
@@ -7,6 +7,7 @@
 import dunlinladder.core.Clock;
 import dunlinladder.core.Engine;
 import dunlinladder.core.Request;
+import dunlinladder.core.RequestBuilder;
 import dunlinladder.core.RequestRouter;
 import dunlinladder.core.RoutingDecision;
 import java.util.ArrayList;
@@ -38,7 +39,7 @@
     }
 
     private Request request(double left) {
-        return new Request("a", 0, 0, 1, 0, 10, 0, 10, clock.now() + left, false, false, null);
+        return RequestBuilder.request("a").deadline(clock.now() + left).build();
     }
 
     /** Starts a request and returns once it waits. */
