--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -8,6 +8,7 @@
 import dunlinladder.core.ServiceRules;
 import dunlinladder.membership.EndpointUpdate;
 import dunlinladder.migration.EngineEligibility;
+import dunlinladder.migration.EngineStage;
 import dunlinladder.migration.Generation;
 import dunlinladder.routing.BlockingRequestRouter;
 import dunlinladder.routing.Router;
@@ -21,7 +22,9 @@
 import dunlinladder.transport.platform.PlatformExchange;
 import dunlinladder.transport.platform.PlatformRequestReader;
 import java.io.IOException;
+import java.util.EnumSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -136,21 +139,21 @@
         List<Router.Role> roles = config.settings().roleByKind();
         EngineEligibility routing = new EngineEligibility(
                 operator.settings().engines(),
-                operator.settings().move(),
+                Optional.ofNullable(operator.settings().move()),
                 engines::listed,
                 engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED) {
-                    case PREFILL -> EngineEligibility.READS;
-                    case DECODE -> EngineEligibility.WRITES;
-                    case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
+                    case PREFILL -> EnumSet.of(EngineStage.PREFILL);
+                    case DECODE -> EnumSet.of(EngineStage.DECODE);
+                    case MIXED -> EnumSet.allOf(EngineStage.class);
                 },
                 config.seed(),
                 clock.now());
         String[] told = {""};
         timer.scheduleWithFixedDelay(
                 () -> {
-                    routing.tick(clock.now());
-                    if (!told[0].equals(routing.standing())) {
-                        told[0] = routing.standing();
+                    routing.advance(clock.now());
+                    if (!told[0].equals(routing.statusText())) {
+                        told[0] = routing.statusText();
                         LOG.info("event=generations {}", told[0]);
                     }
                 },
--- a/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
@@ -10,6 +10,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
@@ -62,7 +63,7 @@
         generations.sort(
                 Comparator.comparing((Generation g) -> orders.get(g.name())).thenComparing(Generation::name));
         return generations.isEmpty()
-                ? List.of(new Generation("all", ApiFormat.CHAT, Set.of(), Set.of(), null))
+                ? List.of(new Generation("all", ApiFormat.CHAT, Set.of(), Set.of(), Optional.empty()))
                 : generations;
     }
 
@@ -153,10 +154,10 @@
         return indexes;
     }
 
-    private static Pattern pattern(Map<String, String> flat, String key) {
+    private static Optional<Pattern> pattern(Map<String, String> flat, String key) {
         String text = flat.get(key);
         try {
-            return text == null ? null : Pattern.compile(text);
+            return Optional.ofNullable(text).map(Pattern::compile);
         } catch (PatternSyntaxException e) {
             throw new InvalidInputException(key + " is not a pattern: " + e.getDescription());
         }
--- a/src/main/java/dunlinladder/migration/FormatEvidence.java
+++ b/src/main/java/dunlinladder/migration/FormatEvidence.java
@@ -6,93 +6,107 @@
 import java.util.function.Predicate;
 
 /**
- * What engines' answers show of whether they speak the format that the operator's file says. One that shows that it
- * does not is left out, and tried again rarely and only with a request that may be repeated. What is known of an engine
- * ends with its process, and all of it with the gateway's: a restart goes by the file.
+ * What engines' answers show of whether they speak the format in which they are addressed. One that shows that it does
+ * not is ejected, and gets half-open probes only: rarely, one at a time, and a request that may be repeated. What is
+ * known of an engine ends with its process, and all of it with the gateway's: a restart goes by the operators' file.
  *
- * <p>Time is handed in, in seconds; not safe for use by several threads at once.
+ * <p>Time is handed in, in clock seconds; not safe for use by several threads.
  */
-public final class FormatEvidence {
+final class FormatEvidence {
 
-    private final double firstSeconds;
-    private final double mostSeconds;
+    /** Doublings of the wait beyond which the longest wait holds in any case. */
+    private static final int MAX_DOUBLINGS = 30;
+    /** A wait is drawn between this fraction of it and that plus {@link #WAIT_SPREAD}. */
+    private static final double MIN_WAIT_FRACTION = 0.75;
+
+    private static final double WAIT_SPREAD = 0.5;
+
+    private final double firstWaitSeconds;
+    private final double maxWaitSeconds;
     private final Random random;
-    private final Map<String, Standing> standings = new HashMap<>();
+    private final Map<EngineFormat, Ejection> ejections = new HashMap<>();
 
-    private static final class Standing {
-        double startedAt;
-        int misses;
-        double barredUntil = Double.NEGATIVE_INFINITY;
-        boolean trialOut;
+    /** What is known of an engine that did not speak its format; times are clock seconds. */
+    private static final class Ejection {
+        double processStartedAt;
+        int failures;
+        double ejectedUntil;
+        boolean probeInFlight;
     }
 
     /**
      * Creates empty evidence.
      *
-     * @param firstSeconds until an engine that was left out is tried again; doubled each time
-     * @param mostSeconds the longest such wait
-     * @param seed spreads the trials of many gateways
+     * @param firstWaitSeconds until an ejected engine gets a probe; doubled each time
+     * @param maxWaitSeconds the longest such wait
+     * @param seed spreads the probes of many gateways
      */
-    public FormatEvidence(double firstSeconds, double mostSeconds, long seed) {
-        this.firstSeconds = firstSeconds;
-        this.mostSeconds = mostSeconds;
+    FormatEvidence(double firstWaitSeconds, double maxWaitSeconds, long seed) {
+        this.firstWaitSeconds = firstWaitSeconds;
+        this.maxWaitSeconds = maxWaitSeconds;
         this.random = new Random(seed);
     }
 
-    /** Whether an engine may get a request now; {@code safe} is one that may run again. */
-    public boolean may(String engine, double startedAt, boolean safe, double now) {
-        Standing standing = of(engine, startedAt);
-        return standing == null || standing.misses == 0 || safe && !standing.trialOut && now >= standing.barredUntil;
+    /**
+     * Whether an engine may get a request now.
+     *
+     * @param startedAt when its process started; evidence of an earlier one no longer counts
+     * @param repeatable whether the request may run again
+     */
+    boolean mayReceive(EngineFormat engine, double startedAt, boolean repeatable, double now) {
+        dropIfRestarted(engine, startedAt);
+        Ejection ejection = ejections.get(engine);
+        return ejection == null || repeatable && !ejection.probeInFlight && now >= ejection.ejectedUntil;
     }
 
-    /** A request goes to an engine; true when it is a trial of one that was left out. */
-    public boolean sent(String engine, double startedAt) {
-        Standing standing = of(engine, startedAt);
-        if (standing == null || standing.misses == 0) {
+    /** Records that a request goes to an engine; true when it is a probe of an ejected one. */
+    boolean recordSent(EngineFormat engine, double startedAt) {
+        dropIfRestarted(engine, startedAt);
+        Ejection ejection = ejections.get(engine);
+        if (ejection == null) {
             return false;
         }
-        standing.trialOut = true;
+        ejection.probeInFlight = true;
         return true;
     }
 
-    /** An engine understood a request. */
-    public void understood(String engine) {
-        standings.remove(engine);
+    /** Records that an engine understood a request. */
+    void recordUnderstood(EngineFormat engine) {
+        ejections.remove(engine);
     }
 
-    /** An engine showed that it does not know the path, the method or the format. */
-    public void knowsNot(String engine, double startedAt, double now) {
-        Standing standing = standings.computeIfAbsent(engine, e -> new Standing());
-        standing.startedAt = startedAt;
-        standing.trialOut = false;
-        double wait = Math.min(mostSeconds, firstSeconds * Math.pow(2, Math.min(30, standing.misses++)));
-        standing.barredUntil = now + wait * (0.75 + random.nextDouble() / 2);
+    /** Records that an engine showed that it does not know the path, the method or the format. */
+    void recordNotUnderstood(EngineFormat engine, double startedAt, double now) {
+        Ejection ejection = ejections.computeIfAbsent(engine, absent -> new Ejection());
+        ejection.processStartedAt = startedAt;
+        ejection.probeInFlight = false;
+        int doublings = Math.min(MAX_DOUBLINGS, ejection.failures++);
+        double wait = Math.min(maxWaitSeconds, firstWaitSeconds * Math.pow(2, doublings));
+        ejection.ejectedUntil = now + wait * (MIN_WAIT_FRACTION + random.nextDouble() * WAIT_SPREAD);
     }
 
-    /** A request at an engine ended and showed neither. */
-    public void silent(String engine) {
-        Standing standing = standings.get(engine);
-        if (standing != null) {
-            standing.trialOut = false;
+    /** Records that a request at an engine ended and showed neither. */
+    void recordInconclusive(EngineFormat engine) {
+        Ejection ejection = ejections.get(engine);
+        if (ejection != null) {
+            ejection.probeInFlight = false;
         }
     }
 
-    /** Forgets all engines but these; others have left the list for good. */
-    public void retain(Predicate<String> listed) {
-        standings.keySet().removeIf(engine -> !listed.test(engine));
+    /** Drops what is known of engines, by their id, that are no longer listed. */
+    void retain(Predicate<String> listed) {
+        ejections.keySet().removeIf(engine -> !listed.test(engine.engineId()));
     }
 
-    /** How many engines are left out. */
-    public int barred() {
-        return (int) standings.values().stream().filter(s -> s.misses > 0).count();
+    /** The number of ejected engines. */
+    int ejectedCount() {
+        return ejections.size();
     }
 
-    private Standing of(String engine, double startedAt) {
-        Standing standing = standings.get(engine);
-        if (standing != null && startedAt > standing.startedAt) {
-            standings.remove(engine);
-            return null;
+    private void dropIfRestarted(EngineFormat engine, double startedAt) {
+        Ejection ejection = ejections.get(engine);
+        if (ejection != null && startedAt > ejection.processStartedAt) {
+            ejections.remove(engine);
         }
-        return standing;
     }
 }
--- a/src/main/java/dunlinladder/migration/MigrationProgress.java
+++ b/src/main/java/dunlinladder/migration/MigrationProgress.java
@@ -2,113 +2,83 @@
 
 import dunlinladder.migration.MigrationPlan.Stage;
 import dunlinladder.migration.MigrationPlan.Stop;
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.Random;
 
 /**
- * How far a move has come, as one gateway sees it. A stage that goes well for its time opens the next; one that does
- * not ends the move there, or goes back and tries again after ever longer waits. Gateways share nothing: each opens a
- * stage a little later than its time, by chance, so that no engine gets the first requests of all at once.
+ * How far a migration has come, as one gateway sees it. A stage that goes well for its time opens the next; one that
+ * does not ends the migration there, or goes back and tries again after ever longer waits. Gateways share nothing: each
+ * opens a stage a little later than its time, by chance, so that no engine gets the first requests of all at once.
  *
- * <p>Time is handed in, in seconds; not safe for use by several threads at once.
+ * <p>Time is handed in, in clock seconds; not safe for use by several threads.
  */
-public final class MigrationProgress {
+final class MigrationProgress {
 
-    /** Where a move stands. */
+    /** Where a migration stands. */
     public enum State {
+        /** Its stages open one after the other. */
         MOVING,
+        /** It ended before its last stage was over, and the stage stays as it is. */
         STOPPED,
+        /** Its last stage is over. */
         DONE
     }
 
-    /** Answers whose delays are remembered, of each generation. */
-    private static final int DELAYS = 256;
-    /** Part of a stage's time by which a gateway may open the next one later than another. */
-    private static final double SPREAD = 0.25;
-    /** Goings back after which the move stops for good. */
-    private static final int BACKS = 3;
+    /** Fraction of a stage's time by which a gateway may open the next one later than another. */
+    private static final double OPENING_SPREAD = 0.25;
+    /** Steps back after which the migration stops for good. */
+    private static final int MAX_STEPS_BACK = 3;
 
-    private final MigrationPlan move;
+    private final MigrationPlan plan;
     private final Random random;
-    private int stage;
+    private int stageNumber;
     private double openedAt;
-    private double due;
-    private int backs;
+    private double nextStageDueAt;
+    private int stepsBack;
     private State state = State.MOVING;
     private String reason = "";
-    private final Side old = new Side();
-    private final Side young = new Side();
-
-    /** What a generation has answered since the stage opened. */
-    private static final class Side {
-        int answers;
-        int failed;
-        int untranslatable;
-        final List<Double> delays = new ArrayList<>();
-        int next;
-
-        void delay(double seconds) {
-            if (delays.size() < DELAYS) {
-                delays.add(seconds);
-            } else {
-                delays.set(next++ % DELAYS, seconds);
-            }
-        }
-
-        double median() {
-            List<Double> sorted = new ArrayList<>(delays);
-            Collections.sort(sorted);
-            return sorted.isEmpty() ? Double.NaN : sorted.get((sorted.size() - 1) / 2);
-        }
-
-        double failedShare() {
-            return answers == 0 ? 0 : (double) failed / answers;
-        }
-
-        void clear() {
-            answers = 0;
-            failed = 0;
-            untranslatable = 0;
-            delays.clear();
-            next = 0;
-        }
-    }
+    private final AnswerStatistics oldGeneration = new AnswerStatistics();
+    private final AnswerStatistics newGeneration = new AnswerStatistics();
+    private int untranslatable;
 
-    /** Opens the first stage at clock time {@code now}. */
-    public MigrationProgress(MigrationPlan move, long seed, double now) {
-        this.move = move;
+    /**
+     * Opens the first stage at clock time {@code now}.
+     *
+     * @param seed differs by gateway
+     */
+    public MigrationProgress(MigrationPlan plan, long seed, double now) {
+        this.plan = plan;
         this.random = new Random(seed);
         open(0, now);
     }
 
-    private void open(int next, double now) {
-        stage = next;
+    private void open(int number, double now) {
+        stageNumber = number;
         openedAt = now;
-        double hold = stage().holdSeconds() * (1L << backs);
-        due = now + hold * (1 + SPREAD * random.nextDouble());
-        old.clear();
-        young.clear();
+        double holdSeconds = stage().holdSeconds() * (1L << stepsBack);
+        nextStageDueAt = now + holdSeconds * (1 + OPENING_SPREAD * random.nextDouble());
+        oldGeneration.clear();
+        newGeneration.clear();
+        untranslatable = 0;
     }
 
     /** The stage that is open. */
     public Stage stage() {
-        return move.stages().get(stage);
+        return plan.stages().get(stageNumber);
     }
 
-    /** Its number, from 0. */
-    public int number() {
-        return stage;
+    /** The number of the stage that is open, from 0. */
+    public int stageNumber() {
+        return stageNumber;
     }
 
-    /** When it opened, in clock seconds. */
+    /** When the stage opened, in clock seconds. */
     public double openedAt() {
         return openedAt;
     }
 
-    /** Where the move stands. */
+    /** Where the migration stands. */
     public State state() {
         return state;
     }
@@ -119,72 +89,81 @@
     }
 
     /**
-     * An answer came, or failed to.
+     * Records that an answer came, or failed to.
      *
-     * @param moved whether from an engine of the new generation
-     * @param delay seconds to the first token, NaN where there was none
+     * @param byNewGeneration whether the engine is of the new generation
+     * @param firstTokenSeconds time to first token, NaN where there was none
      */
-    public void answered(boolean moved, boolean failed, double delay, double now) {
-        Side side = moved ? young : old;
-        side.answers++;
-        side.failed += failed ? 1 : 0;
-        if (!Double.isNaN(delay)) {
-            side.delay(delay);
-        }
-        look(now);
+    public void recordAnswer(boolean byNewGeneration, boolean failed, double firstTokenSeconds, double now) {
+        (byNewGeneration ? newGeneration : oldGeneration).add(failed, firstTokenSeconds);
+        advance(now);
     }
 
-    /** A request could not be expressed in the new generation's format. */
-    public void untranslatable(double now) {
-        young.untranslatable++;
-        look(now);
+    /** Records that a request could not be expressed in the new generation's format. */
+    public void recordUntranslatable(double now) {
+        untranslatable++;
+        advance(now);
     }
 
-    /** Time has passed. */
-    public void tick(double now) {
-        look(now);
-    }
-
-    private void look(double now) {
+    /** Opens, closes or ends what is due at clock time {@code now}. */
+    public void advance(double now) {
         if (state != State.MOVING) {
             return;
         }
-        String fault = fault();
-        if (fault != null) {
-            reason = fault;
-            if (!move.stop().back() || backs >= BACKS) {
-                state = State.STOPPED;
-            } else {
-                backs++;
-                open(Math.max(0, stage - 1), now);
-            }
-        } else if (now >= due && young.answers >= move.stop().least()) {
-            if (stage + 1 < move.stages().size()) {
-                open(stage + 1, now);
-            } else {
-                state = State.DONE;
-            }
+        Optional<String> fault = fault();
+        if (fault.isPresent()) {
+            reason = fault.get();
+            stepBackOrStop(now);
+        } else if (now >= nextStageDueAt
+                && newGeneration.answers() >= plan.stop().minAnswers()) {
+            openNextOrFinish(now);
         }
     }
 
-    /** What speaks against the stage, null where nothing does. */
-    private String fault() {
-        Stop stop = move.stop();
-        int asked = young.answers + young.untranslatable;
-        if (asked >= stop.least() && (double) young.untranslatable / asked > stop.untranslatable()) {
-            return "untranslatable " + young.untranslatable + " of " + asked;
+    private void stepBackOrStop(double now) {
+        if (!plan.stop().stepsBack() || stepsBack >= MAX_STEPS_BACK) {
+            state = State.STOPPED;
+        } else {
+            stepsBack++;
+            open(Math.max(0, stageNumber - 1), now);
         }
-        if (young.answers < stop.least()) {
-            return null;
+    }
+
+    private void openNextOrFinish(double now) {
+        if (stageNumber + 1 < plan.stages().size()) {
+            open(stageNumber + 1, now);
+        } else {
+            state = State.DONE;
         }
-        if (young.failedShare() > stop.failed() + old.failedShare()) {
-            return "failed " + young.failed + " of " + young.answers;
+    }
+
+    /** What speaks against the stage, empty where nothing does. */
+    private Optional<String> fault() {
+        Stop stop = plan.stop();
+        int requests = newGeneration.answers() + untranslatable;
+        if (requests >= stop.minAnswers() && (double) untranslatable / requests > stop.maxUntranslatable()) {
+            return Optional.of("untranslatable " + untranslatable + " of " + requests);
         }
-        if (old.delays.size() >= stop.least()
-                && young.delays.size() >= stop.least()
-                && young.median() > stop.delay() * old.median()) {
-            return String.format(Locale.ROOT, "first token after %.3f s against %.3f s", young.median(), old.median());
+        if (newGeneration.answers() < stop.minAnswers()) {
+            return Optional.empty();
         }
-        return null;
+        if (newGeneration.failureFraction() > stop.maxFailureExcess() + oldGeneration.failureFraction()) {
+            return Optional.of("failed " + newGeneration.failures() + " of " + newGeneration.answers());
+        }
+        return isSlow(stop) ? Optional.of(slowness()) : Optional.empty();
+    }
+
+    private boolean isSlow(Stop stop) {
+        return oldGeneration.delays() >= stop.minAnswers()
+                && newGeneration.delays() >= stop.minAnswers()
+                && newGeneration.medianDelay() > stop.maxDelayRatio() * oldGeneration.medianDelay();
+    }
+
+    private String slowness() {
+        return String.format(
+                Locale.ROOT,
+                "first token after %.3f s against %.3f s",
+                newGeneration.medianDelay(),
+                oldGeneration.medianDelay());
     }
 }
--- a/src/main/java/dunlinladder/transport/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -23,6 +23,7 @@
 import dunlinladder.core.ResponseSink;
 import dunlinladder.migration.EngineEligibility;
 import dunlinladder.migration.Generation;
+import dunlinladder.migration.RequestConstraints;
 import dunlinladder.transport.engine.EngineRequest;
 import dunlinladder.transport.engine.EngineRequestFactory;
 import dunlinladder.transport.http.ServerExchange;
@@ -37,6 +38,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
@@ -73,7 +75,7 @@
     /** Null where all engines speak the client's own format. */
     private Conversation talk;
 
-    private EngineEligibility.Ask ask;
+    private RequestConstraints ask;
     private ApiFormat rendered;
     /** The generation to which the engine of the last attempt belonged when it was sent. */
     private volatile String sentIn;
@@ -180,7 +182,7 @@
             boolean plain = format == ApiFormat.CHAT && formats.equals(List.of(ApiFormat.CHAT));
             request = plain ? ChatRequest.read(content, shared.settings, tenant) : parsed(content, tenant);
             boolean once = shared.settings.once().get(request.kind().serviceClass());
-            ask = new EngineEligibility.Ask(id, tenant, !once);
+            ask = new RequestConstraints(id, tenant, !once);
             if (!plain) {
                 fit(formats, now);
             }
@@ -192,7 +194,7 @@
                             this,
                             engine -> {
                                 Engine listed = shared.engines.find(engine).orElse(null);
-                                return listed != null && shared.routing.may(listed, ask, shared.clock.now());
+                                return listed != null && shared.routing.isEligible(listed, ask, shared.clock.now());
                             }),
                     this);
         } catch (ChatError e) {
@@ -225,7 +227,7 @@
         for (ApiFormat each : formats) {
             String field = RequestTranslator.lacking(each, talk);
             if (field != null) {
-                ask.lacks(each, field);
+                ask.cannotExpress(each, field);
             }
         }
         if (formats.size() == 1 && RequestTranslator.lacking(formats.iterator().next(), talk) == null) {
@@ -236,8 +238,8 @@
                 throw refused(e);
             }
         }
-        shared.routing.asked(ask, now);
-        shared.routing.hopeless(ask, now).ifPresent(field -> {
+        shared.routing.recordRequest(ask, now);
+        shared.routing.inexpressibleField(ask, now).ifPresent(field -> {
             throw new ChatError(
                     400,
                     field + " can't be expressed in any format that the model's servers speak",
@@ -250,10 +252,10 @@
 
     @Override
     public EngineRequest to(Engine engine) {
-        Generation generation = shared.routing.of(engine).orElse(null);
+        Generation generation = shared.routing.generationOf(engine).orElse(null);
         ApiFormat engines = generation == null ? ApiFormat.CHAT : generation.format();
         sentIn = generation == null ? null : generation.name();
-        shared.routing.sent(engine);
+        shared.routing.recordSent(engine);
         if (talk == null) {
             translation = null;
             return new EngineRequest("POST", engines.path(), JSON, request.forward());
@@ -292,18 +294,18 @@
     public void attemptEnded(Engine engine, Outcome outcome, int status, double firstSeconds) {
         double now = shared.clock.now();
         if (outcome.ending() == Outcome.Ending.PREFILLED) {
-            ask.readBy(sentIn);
+            ask.prefilledBy(Optional.ofNullable(sentIn));
         } else if (outcome.isKvCacheMissing()) {
-            ask.readBy(null);
+            ask.kvCacheLost();
         }
         if (outcome.ending() == Outcome.Ending.ERROR && ErrorTranslator.knowsNot(status, null)) {
-            shared.routing.knowsNot(engine, now);
+            shared.routing.recordNotUnderstood(engine, now);
             return;
         }
         boolean ok = outcome.ending() == Outcome.Ending.OK
                 || outcome.ending() == Outcome.Ending.PREFILLED
                 || outcome.ending() == Outcome.Ending.REJECTED;
-        shared.routing.ended(
+        shared.routing.recordAttemptEnd(
                 engine,
                 ok || !Double.isNaN(firstSeconds),
                 !ok && outcome.ending() != Outcome.Ending.CANCELLED && outcome.ending() != Outcome.Ending.FULL,
--- a/src/test/java/dunlinladder/lifecycle/MigrationConfigReaderTest.java
+++ b/src/test/java/dunlinladder/lifecycle/MigrationConfigReaderTest.java
@@ -61,7 +61,7 @@
         assertEquals(ApiFormat.RESPONSES, generations.get(1).format());
         assertEquals(Set.of(0, 1), generations.get(1).kinds());
         assertEquals(Set.of(1), generations.get(1).zones());
-        assertEquals("box-.*", generations.get(1).ids().pattern());
+        assertEquals("box-.*", generations.get(1).ids().orElseThrow().pattern());
         assertEquals(
                 new MigrationPlan(
                         "old",
