--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -72,7 +72,7 @@
                 config.settings(), config.seed(), clock, client::release, pulse::lag, limits.lagSeconds());
         timer.scheduleWithFixedDelay(
                 () -> {
-                    pulse.beat();
+                    pulse.probe();
                     decisions.pulse();
                 },
                 0,
--- a/src/main/java/dunlinladder/transport/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -249,7 +249,7 @@
     // ---- The engines' side: what goes to each, and what they show ----
 
     @Override
-    public EngineRequest to(Engine engine) {
+    public EngineRequest requestFor(Engine engine) {
         Generation generation = shared.routing.of(engine).orElse(null);
         ApiFormat engines = generation == null ? ApiFormat.CHAT : generation.format();
         sentIn = generation == null ? null : generation.name();
@@ -312,7 +312,7 @@
     }
 
     @Override
-    public boolean rejects(int status, String body) {
+    public boolean isRejection(int status, String body) {
         rejection = ErrorTranslator.rejection(status, body);
         return rejection != null;
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -78,7 +78,7 @@
         super(connections);
         this.attempt = attempt;
         this.outgoing = (EngineRequestFactory) attempt.request().payload();
-        this.forward = outgoing.to(attempt.engine());
+        this.forward = outgoing.requestFor(attempt.engine());
         this.startedAt = clock.now();
         this.client = client;
         this.first = first;
@@ -325,7 +325,8 @@
             case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.keptInRead(text), report));
             case 410 -> settle(new Outcome(Ending.FULL, 1, report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
-            default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
+            default ->
+                settle(new Outcome(outgoing.isRejection(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
         }
         finish(true);
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineRequest.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineRequest.java
@@ -7,7 +7,7 @@
         implements EngineRequestFactory {
 
     @Override
-    public EngineRequest to(Engine engine) {
+    public EngineRequest requestFor(Engine engine) {
         return this;
     }
 }
--- a/src/main/java/dunlinladder/transport/engine/EngineRequestFactory.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineRequestFactory.java
@@ -8,14 +8,14 @@
 public interface EngineRequestFactory extends Payload {
 
     /** The message for an engine; called once for each attempt, before it starts. */
-    EngineRequest to(Engine engine);
+    EngineRequest requestFor(Engine engine);
 
     /**
      * Whether an engine's error says that the request itself is at fault, so that the request has failed.
      *
      * @param body as much of the answer as is kept
      */
-    default boolean rejects(int status, String body) {
+    default boolean isRejection(int status, String body) {
         return false;
     }
 
--- a/src/main/java/dunlinladder/transport/engine/SchedulingLagMonitor.java
+++ b/src/main/java/dunlinladder/transport/engine/SchedulingLagMonitor.java
@@ -42,7 +42,7 @@
     }
 
     /** Sends a beat unless one is out; to be called often. */
-    public void beat() {
+    public void probe() {
         synchronized (this) {
             if (sentAt != 0) {
                 return;
--- a/src/test/java/dunlinladder/transport/engine/SchedulingLagMonitorTest.java
+++ b/src/test/java/dunlinladder/transport/engine/SchedulingLagMonitorTest.java
@@ -22,17 +22,17 @@
                 SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections)) {
             CountDownLatch release = EngineConnectionPoolTest.occupy(connections, "127.0.0.1:" + engine.getLocalPort());
             try {
-                pulse.beat();
+                pulse.probe();
                 while (pulse.lag() < 0.2) {
                     Thread.onSpinWait();
                 }
-                pulse.beat();
+                pulse.probe();
                 assertTrue(pulse.lag() >= 0.2, "a beat that is out keeps its age");
             } finally {
                 release.countDown();
             }
             while (pulse.lag() >= 0.2) {
-                pulse.beat();
+                pulse.probe();
             }
         } finally {
             timer.shutdownNow();
