--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -250,7 +250,7 @@
             each.stopListening();
         }
         // What is held at engines for a request outlives its answer until a release has arrived.
-        while (dispatcher.activeRequests() > 0 || client.releasing() > 0) {
+        while (dispatcher.activeRequests() > 0 || client.openReleases() > 0) {
             closeIdle();
             Thread.sleep(20);
         }
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -129,13 +129,13 @@
                         case STREAMING -> Ending.RESET;
                     }));
         }
-        finish(false);
+        closeConnection();
     }
 
     @Override
     public void abandon() {
         settle(Outcome.of(Ending.CANCELLED));
-        finish(false);
+        closeConnection();
     }
 
     private synchronized void settle(Outcome outcome) {
@@ -155,7 +155,7 @@
 
     /** Only what breaks before the request's last byte is written has certainly not run. */
     @Override
-    synchronized void broken() {
+    synchronized void connectionFailed() {
         settle(Outcome.of(phase == Phase.SENDING ? Ending.CONNECT_FAILED : Ending.RESET));
     }
 
@@ -167,11 +167,11 @@
         if (!mayStart()) {
             // The connection was there, yet this thread came to it only now. Its end is our own doing and
             // says nothing of kept connections.
-            finish(false);
+            closeConnection();
             throw new ConnectionClosedException("the engine drains");
         }
         BasicHttpRequest request = new BasicHttpRequest(forward.method(), forward.target());
-        request.setAuthority(EngineConnectionPool.authority(attempt.engine()));
+        request.setAuthority(EngineAddress.authority(attempt.engine()));
         request.setHeader("X-Request-ID", attempt.request().id());
         request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.until() - clock.now())));
         boolean empty = !body.hasRemaining();
@@ -223,7 +223,7 @@
     }
 
     @Override
-    void head(HttpResponse response, EntityDetails entity) throws HttpException {
+    void responseHead(HttpResponse response, EntityDetails entity) throws HttpException {
         sent();
         status = response.getCode();
         if (status == 200 && entity != null && !entity.isChunked() && entity.getContentLength() < 0) {
@@ -328,7 +328,7 @@
             default ->
                 settle(new Outcome(outgoing.isRejection(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
         }
-        finish(true);
+        returnConnection();
     }
 
     private void served() throws IOException {
--- a/src/main/java/dunlinladder/transport/engine/EngineClient.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineClient.java
@@ -24,7 +24,7 @@
     private final Clock clock;
     private final Limits limits;
     private final ScheduledExecutorService timer;
-    private final AtomicInteger releasing = new AtomicInteger();
+    private final AtomicInteger openReleases = new AtomicInteger();
 
     /** Creates a client; {@code timer} moves releases on that get no answer. */
     public EngineClient(
@@ -53,14 +53,13 @@
     public void release(String id) {
         List<Engine> listed = new ArrayList<>(engines.listed());
         Collections.shuffle(listed);
-        List<Engine> order = ReleaseOrder.of(listed, connections.answered());
-        releasing.incrementAndGet();
-        timer.execute(new ReleaseCall.Chain(
-                connections, timer, limits, id, order.iterator(), releasing::decrementAndGet)::next);
+        List<Engine> order = ReleaseOrder.of(listed, connections.lastResponses());
+        openReleases.incrementAndGet();
+        new ReleaseChain(connections, timer, limits, id, order.iterator(), openReleases::decrementAndGet).start();
     }
 
     /** How many releases no engine has taken yet and are still being tried. */
-    public int releasing() {
-        return releasing.get();
+    public int openReleases() {
+        return openReleases.get();
     }
 }
--- a/src/main/java/dunlinladder/transport/engine/EngineExchange.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineExchange.java
@@ -20,96 +20,135 @@
 import org.apache.hc.core5.reactor.Command;
 import org.apache.hc.core5.reactor.IOSession;
 
-/** One request on one outgoing connection: takes a connection, and gives it back or closes it at the end. */
-abstract class EngineExchange implements AsyncClientExchangeHandler, EngineConnectionPool.Waiting {
+/**
+ * One request on one outgoing connection: leases a connection, and gives it back or closes it at the end, once.
+ *
+ * <p>The lock of this object guards the leased connection and whether it has been let go, since a connection may come
+ * up on HttpCore's I/O thread while another thread gives the exchange up. The remaining fields belong to the I/O
+ * thread, except that a connection that is free at once is handed over by the thread that calls {@link #start}.
+ */
+abstract class EngineExchange implements AsyncClientExchangeHandler, LeaseCallback {
 
     private final EngineConnectionPool connections;
-    private PoolEntry<HttpHost, IOSession> entry;
-    private boolean kept;
-    private boolean answered;
-    private boolean over;
-    private boolean closing;
+    private PoolEntry<HttpHost, IOSession> connection;
+    private boolean released;
+    private boolean reusedConnection;
+    private boolean responseStarted;
+    private boolean closeAnnounced;
 
+    /** Prepares an exchange that takes its connection from {@code connections}. */
     EngineExchange(EngineConnectionPool connections) {
         this.connections = connections;
     }
 
+    /** Leases a connection to {@code address}, and sends the request when it is there. */
     final void start(String address) {
         connections.lease(address, this);
     }
 
-    /** Whether it may still be sent, asked when the connection is there. */
+    // ---- What the kinds of exchange add ----
+
+    /** Whether the request may still be sent, asked when the connection is there. */
     abstract boolean mayStart();
 
-    /** The connection broke or never came up. */
-    abstract void broken();
+    /** The connection broke, never came up or was closed here; called also after an orderly end. */
+    abstract void connectionFailed();
+
+    /** The head of the final response has come. */
+    abstract void responseHead(HttpResponse response, EntityDetails entity) throws HttpException;
+
+    // ---- The connection ----
 
     @Override
     public final void connected(PoolEntry<HttpHost, IOSession> leased, boolean reused) {
-        kept = reused;
+        reusedConnection = reused;
         boolean unwanted;
         synchronized (this) {
-            unwanted = over;
-            entry = leased;
+            unwanted = released;
+            connection = leased;
         }
         if (unwanted) {
             connections.giveBack(leased);
         } else if (mayStart()) {
-            leased.getConnection()
-                    .enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
-            if (!leased.getConnection().isOpen()) {
-                // A command queued on a session that has just closed may never be looked at.
-                failed(new IOException("closed before the request"));
-            }
+            send(leased.getConnection());
         } else {
-            finish(true);
-            broken();
+            returnConnection();
+            connectionFailed();
+        }
+    }
+
+    private void send(IOSession session) {
+        session.enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
+        if (!session.isOpen()) {
+            // A command queued on a session that has just closed may never be looked at.
+            abort();
         }
     }
 
     @Override
     public final void notConnected() {
-        finish(false);
-        broken();
+        abort();
+    }
+
+    /** Gives the connection back for reuse, unless the engine has announced that it closes it. */
+    final void returnConnection() {
+        release(!closeAnnounced);
+    }
+
+    /** Closes the connection, whatever it carries. */
+    final void closeConnection() {
+        release(false);
+    }
+
+    /** Closes the connection and has the exchange end as one whose connection failed. */
+    final void abort() {
+        closeConnection();
+        connectionFailed();
     }
 
-    /** Lets the connection go, once; {@code clean} when the next request may use it. */
-    final void finish(boolean clean) {
-        PoolEntry<HttpHost, IOSession> done;
+    private void release(boolean reusable) {
+        PoolEntry<HttpHost, IOSession> leased;
         synchronized (this) {
-            if (over) {
+            if (released) {
                 return;
             }
-            over = true;
-            done = entry;
+            released = true;
+            leased = connection;
+        }
+        if (leased == null) {
+            // None has come up; connected() gives it back when it does.
+            return;
         }
-        if (done != null && clean && !closing) {
-            connections.giveBack(done);
-        } else if (done != null) {
-            connections.drop(done);
+        if (reusable) {
+            connections.giveBack(leased);
+        } else {
+            connections.discard(leased);
         }
     }
 
+    private synchronized boolean isReleased() {
+        return released;
+    }
+
+    // ---- HttpCore's side ----
+
     @Override
     public void consumeInformation(HttpResponse response, HttpContext context) {
-        // Interim answers say nothing here.
+        // Interim responses say nothing here.
     }
 
     @Override
     public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context)
             throws HttpException, IOException {
-        answered = true;
-        closing = response.containsHeader("Connection")
+        responseStarted = true;
+        closeAnnounced = response.containsHeader("Connection")
                 && "close".equalsIgnoreCase(response.getHeader("Connection").getValue());
-        head(response, entity);
+        responseHead(response, entity);
         if (entity == null) {
-            streamEnd(null);
+            streamEnd(List.of());
         }
     }
 
-    /** The answer's head. */
-    abstract void head(HttpResponse response, EntityDetails entity) throws HttpException;
-
     @Override
     public int available() {
         return 0;
@@ -132,33 +171,35 @@
 
     @Override
     public void streamEnd(List<? extends Header> trailers) throws HttpException, IOException {
-        finish(true);
+        returnConnection();
     }
 
     @Override
     public final void failed(Exception cause) {
-        boolean ended;
-        synchronized (this) {
-            ended = over;
+        if (showsStaleConnection(cause)) {
+            connections.suspendReuse();
         }
-        // What was given up here, or an answer that can't be read, says nothing of kept connections.
-        if (!ended
-                && kept
-                && !answered
-                && (cause instanceof SocketException || cause instanceof ConnectionClosedException)) {
-            connections.distrust();
-        }
-        finish(false);
-        broken();
+        abort();
+    }
+
+    /**
+     * Whether a reused connection broke under its next request. What was given up here, or a response that can't be
+     * read, says nothing of reused connections.
+     */
+    private boolean showsStaleConnection(Exception cause) {
+        return !isReleased()
+                && reusedConnection
+                && !responseStarted
+                && (cause instanceof SocketException || cause instanceof ConnectionClosedException);
     }
 
     @Override
     public final void cancel() {
-        failed(null);
+        abort();
     }
 
     @Override
     public void releaseResources() {
-        // Nothing beside the connection, which finish lets go.
+        // There are none beside the connection, which has its own end.
     }
 }
--- a/src/test/java/dunlinladder/transport/engine/EngineConnectionPoolTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineConnectionPoolTest.java
@@ -34,7 +34,7 @@
 
     private static PoolEntry<HttpHost, IOSession> lease(EngineConnectionPool connections, String address) {
         CompletableFuture<PoolEntry<HttpHost, IOSession>> leased = new CompletableFuture<>();
-        connections.lease(address, new EngineConnectionPool.Waiting() {
+        connections.lease(address, new LeaseCallback() {
             @Override
             public void connected(PoolEntry<HttpHost, IOSession> entry, boolean reused) {
                 leased.complete(entry);
@@ -52,7 +52,7 @@
     static CountDownLatch occupy(EngineConnectionPool connections, String address) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        connections.lease(address, new EngineConnectionPool.Waiting() {
+        connections.lease(address, new LeaseCallback() {
             @Override
             public void connected(PoolEntry<HttpHost, IOSession> other, boolean reused) {
                 busy.countDown();
@@ -86,7 +86,7 @@
             try (Socket peer = listener.accept()) {
                 CountDownLatch release = occupy(connections, address);
                 try {
-                    connections.drop(entry);
+                    connections.discard(entry);
                     assertEquals(-1, peer.getInputStream().read());
                 } finally {
                     release.countDown();
@@ -166,9 +166,9 @@
                     connections, engines, new SendGuard(engines, new Clock(), 0), new Clock(), patient, timer);
             client.release("held");
             assertEquals("DELETE /internal/reservations/held", asked.join());
-            assertEquals(1, client.releasing());
+            assertEquals(1, client.openReleases());
             seen.countDown();
-            while (client.releasing() > 0) {
+            while (client.openReleases() > 0) {
                 Thread.onSpinWait();
             }
         } finally {
--- a/src/test/java/dunlinladder/transport/engine/EngineReportReaderTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineReportReaderTest.java
@@ -83,7 +83,7 @@
     /** Where there is no DNS a look-up holds up its thread, and all that waits for it, for seconds. */
     @Test
     void addressesAreNotLookedUp() throws Exception {
-        assertEquals("127.0.0.1", EngineConnectionPool.host("127.0.0.1:80").getHostName());
+        assertEquals("127.0.0.1", EngineAddress.host("127.0.0.1:80").getHostName());
     }
 
     @Test
