--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -231,8 +231,8 @@
             throw new ProtocolException("a stream without chunks");
         }
         notRun = response.containsHeader("X-Not-Processed");
-        Header load = response.getFirstHeader(EngineReportReader.HEADER);
-        report = EngineReportReader.load(load == null ? null : load.getValue());
+        Header load = response.getFirstHeader(EngineReportReader.LOAD_HEADER);
+        report = EngineReportReader.loadReport(load == null ? null : load.getValue());
     }
 
     @Override
@@ -275,7 +275,7 @@
             taken(size);
             return;
         }
-        int held = events.held();
+        int held = events.pendingBytes();
         try {
             ByteBuffer whole = events.add(source);
             // What waits for the rest of its event is not the client's to take.
@@ -322,7 +322,7 @@
         String text = answer.toString(StandardCharsets.UTF_8);
         switch (status) {
             case 200 -> served();
-            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.keptInRead(text), report));
+            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.cachedTokensOfPrefill(text), report));
             case 410 -> settle(new Outcome(Ending.FULL, 1, report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
             default ->
@@ -333,7 +333,7 @@
 
     private void served() throws IOException {
         try {
-            int held = events.held();
+            int held = events.pendingBytes();
             pass(events.end(), held);
         } catch (InvalidInputException e) {
             throw new IOException("the stream is spoilt: " + e.getMessage());
@@ -341,6 +341,7 @@
         settle(
                 phase != Phase.STREAMING
                         ? Outcome.of(Ending.RESET)
-                        : new Outcome(Ending.OK, events.kept(), report.isEmpty() ? events.report() : report));
+                        : new Outcome(
+                                Ending.OK, events.cachedTokens(), report.isEmpty() ? events.loadReport() : report));
     }
 }
--- a/src/main/java/dunlinladder/transport/engine/EventStreamFilter.java
+++ b/src/main/java/dunlinladder/transport/engine/EventStreamFilter.java
@@ -9,112 +9,142 @@
 import java.util.Map;
 
 /**
- * Cuts an engine's stream into whole events and looks at each line before it is passed on, as it came. What is not an
- * event of this protocol is noise, whatever its chunk said, and would be served as an answer.
+ * Cuts an engine's stream into complete events and checks each line before it is passed on, as it came. What is no
+ * event of this protocol is noise, whatever its chunk said, and would else be served as an answer. Used by one thread
+ * at a time.
+ *
+ * <p>Format: server-sent events as the protocol page restricts them, that is {@code data:} with a JSON object or
+ * {@code [DONE]}, comments, {@code event:}, {@code id:} and {@code retry:}; a blank line ends an event.
  */
 final class EventStreamFilter {
 
-    private static final String REPORT = ": " + EngineReportReader.HEADER + ":";
+    private static final String DATA_FIELD = "data:";
+    private static final String STREAM_END = "[DONE]";
+    private static final String LOAD_REPORT_COMMENT = ": " + EngineReportReader.LOAD_HEADER + ":";
+    private static final String OTHER_LINE = "(:|event:|id:|retry:)[^\\p{Cntrl}]*";
+
+    /** Holds most events of a few tokens. */
+    private static final int INITIAL_BYTES = 512;
+
+    private final int maxEventBytes;
+    /** The bytes that wait for the end of their event, {@link #size} of them. */
+    private byte[] pending = new byte[INITIAL_BYTES];
 
-    private final int most;
-    private byte[] held = new byte[512];
     private int size;
-    private int line;
-    private boolean data;
-    private double kept;
-    private Map<String, Double> report = Map.of();
-
-    /** Creates a cutter for events of at most {@code most} bytes. */
-    EventStreamFilter(int most) {
-        this.most = most;
+    /** Where the line begins that has not ended. */
+    private int lineStart;
+
+    private boolean dataSeen;
+    private double cachedTokens;
+    private Map<String, Double> loadReport = Map.of();
+
+    /** Creates a filter for events of at most {@code maxEventBytes} bytes. */
+    EventStreamFilter(int maxEventBytes) {
+        this.maxEventBytes = maxEventBytes;
     }
 
     /** Bytes that wait for the end of their event. */
-    int held() {
+    int pendingBytes() {
         return size;
     }
 
-    /** Takes a piece; returns the events that it ended, empty when there are none; throws on noise. */
+    /**
+     * Takes a piece of the stream, all of it.
+     *
+     * @return the events that it completed, empty when there are none
+     * @throws InvalidInputException on noise, or an event that is too long
+     */
     ByteBuffer add(ByteBuffer piece) {
         int from = size;
-        if (size + piece.remaining() > held.length) {
-            held = Arrays.copyOf(held, Math.max(2 * held.length, size + piece.remaining()));
-        }
-        size += piece.remaining();
-        piece.get(held, from, piece.remaining());
-        int whole = 0;
+        append(piece);
+        int complete = 0;
         for (int at = from; at < size; at++) {
-            if (held[at] == '\n') {
-                boolean blank = check(line, at);
-                line = at + 1;
+            if (pending[at] == '\n') {
+                boolean blank = checkLine(lineStart, at);
+                lineStart = at + 1;
                 // A comment ahead of the first event does not make the stream the client's.
-                whole = blank && data ? line : whole;
+                complete = blank && dataSeen ? lineStart : complete;
             }
         }
-        if (size - whole > most) {
-            throw new InvalidInputException("an event is over " + most + " bytes");
+        if (size - complete > maxEventBytes) {
+            throw new InvalidInputException("an event is over " + maxEventBytes + " bytes");
         }
-        return take(whole);
+        return remove(complete);
     }
 
-    /** The end of the stream: returns what is left, which may lack its closing blank line. */
+    /**
+     * The end of the stream.
+     *
+     * @return what is left, which may lack its closing blank line
+     * @throws InvalidInputException on noise
+     */
     ByteBuffer end() {
-        if (line < size) {
-            check(line, size);
+        if (lineStart < size) {
+            checkLine(lineStart, size);
+        }
+        return remove(size);
+    }
+
+    private void append(ByteBuffer piece) {
+        int bytes = piece.remaining();
+        if (size + bytes > pending.length) {
+            pending = Arrays.copyOf(pending, Math.max(2 * pending.length, size + bytes));
         }
-        return take(size);
+        piece.get(pending, size, bytes);
+        size += bytes;
     }
 
-    private ByteBuffer take(int count) {
-        ByteBuffer events = ByteBuffer.wrap(Arrays.copyOf(held, count));
-        System.arraycopy(held, count, held, 0, size - count);
-        size -= count;
-        line -= Math.min(line, count);
+    private ByteBuffer remove(int bytes) {
+        ByteBuffer events = ByteBuffer.wrap(Arrays.copyOf(pending, bytes));
+        System.arraycopy(pending, bytes, pending, 0, size - bytes);
+        size -= bytes;
+        lineStart -= Math.min(lineStart, bytes);
         return events;
     }
 
-    /** Checks one line; true when it is blank. */
-    private boolean check(int start, int end) {
-        int stop = end > start && held[end - 1] == '\r' ? end - 1 : end;
+    /** Checks one line without its line feed; true when it is blank. */
+    private boolean checkLine(int start, int end) {
+        int stop = end > start && pending[end - 1] == '\r' ? end - 1 : end;
         if (stop == start) {
             return true;
         }
-        String text;
+        String line = decode(start, stop);
+        if (line.startsWith(DATA_FIELD)) {
+            readData(line.substring(DATA_FIELD.length()).trim());
+        } else if (line.startsWith(LOAD_REPORT_COMMENT)) {
+            loadReport = EngineReportReader.loadReport(line.substring(LOAD_REPORT_COMMENT.length()));
+        } else if (!line.matches(OTHER_LINE)) {
+            throw new InvalidInputException("a line that belongs to no event");
+        }
+        return false;
+    }
+
+    private String decode(int start, int end) {
+        ByteBuffer line = ByteBuffer.wrap(pending, start, end - start);
         try {
-            text = StandardCharsets.UTF_8
-                    .newDecoder()
-                    .decode(ByteBuffer.wrap(held, start, stop - start))
-                    .toString();
+            return StandardCharsets.UTF_8.newDecoder().decode(line).toString();
         } catch (CharacterCodingException e) {
             throw new InvalidInputException("a line that is not UTF-8");
         }
-        if (text.startsWith("data:")) {
-            data(text.substring(5).trim());
-        } else if (text.startsWith(REPORT)) {
-            report = EngineReportReader.load(text.substring(REPORT.length()));
-        } else if (!text.matches("(:|event:|id:|retry:)[^\\p{Cntrl}]*")) {
-            throw new InvalidInputException("a line that belongs to no event");
-        }
-        return false;
     }
 
-    private void data(String text) {
-        if (!text.equals("[DONE]")) {
+    private void readData(String text) {
+        if (!text.equals(STREAM_END)) {
             JsonObject event = JsonObject.parse(text);
             if (event.has("usage")) {
-                kept = EngineReportReader.kept(event);
+                cachedTokens = EngineReportReader.cachedTokensOfUsage(event);
             }
         }
-        data = true;
+        dataSeen = true;
     }
 
-    /** The kept tokens that the events state; 0 when they do not. */
-    double kept() {
-        return kept;
+    /** The cached tokens that the events state; 0 when they do not. */
+    double cachedTokens() {
+        return cachedTokens;
     }
 
     /** The load report that came in a comment; empty when there was none. */
-    Map<String, Double> report() {
-        return report;
+    Map<String, Double> loadReport() {
+        return loadReport;
     }
 }
--- a/src/test/java/dunlinladder/transport/engine/EngineReportReaderTest.java
+++ b/src/test/java/dunlinladder/transport/engine/EngineReportReaderTest.java
@@ -33,7 +33,7 @@
                 ",,|{}"
             })
     void loadReports(String text, String expected) {
-        assertEquals(expected, EngineReportReader.load(text).toString());
+        assertEquals(expected, EngineReportReader.loadReport(text).toString());
     }
 
     @ParameterizedTest
@@ -41,7 +41,7 @@
             delimiter = '|',
             value = {"{\"cached_tokens\":4096}|4096", "{}|0", "hello|0", "''|0"})
     void keptInARead(String body, double expected) {
-        assertEquals(expected, EngineReportReader.keptInRead(body));
+        assertEquals(expected, EngineReportReader.cachedTokensOfPrefill(body));
     }
 
     /** Feeds a stream in pieces that end at each bar; what passes is joined with bars, noise ends it. */
@@ -93,8 +93,8 @@
                 events,
                 "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":12}}}//"
                         + ": X-Server-Load: queue=3//data: [DONE]//");
-        assertEquals(12, events.kept());
-        assertEquals(Map.of("queue", 3.0), events.report());
-        assertEquals(0, new EventStreamFilter(1000).kept());
+        assertEquals(12, events.cachedTokens());
+        assertEquals(Map.of("queue", 3.0), events.loadReport());
+        assertEquals(0, new EventStreamFilter(1000).cachedTokens());
     }
 }
