--- a/src/main/java/dunlinladder/membership/WatchTimeouts.java
+++ b/src/main/java/dunlinladder/membership/WatchTimeouts.java
@@ -25,17 +25,17 @@
     private static final double MAX_JITTER_SECONDS = HEARTBEAT_DELAY_SECONDS;
     /** Seconds without an update or a heartbeat after which a connection is silent. */
     private static final double SILENCE_SECONDS = HEARTBEAT_INTERVAL_SECONDS + HEARTBEAT_DELAY_SECONDS;
-    /** Steps after a silence: a call that is lost, the answer of the one beside it, its way to the decisions. */
+    /** Steps after a silence: a call that is lost, the answer of the one beside it, its way to the routing policy. */
     private static final int STEPS_AFTER_SILENCE = 3;
     /** Seconds of each of these steps, and so until a call gets another one beside it. */
     private static final double BACKUP_SECONDS =
             (UPDATE_DUE_SECONDS - SILENCE_SECONDS - MAX_JITTER_SECONDS) / STEPS_AFTER_SILENCE;
-    /** Seconds for an answer, and as many for its update to be read and to reach the decisions. */
-    private static final double STEP_SECONDS = 1;
+    /** Seconds for an answer to come, and as many for its update to be read and to reach the routing policy. */
+    private static final double DELIVERY_SECONDS = 1;
     /** The longest pause between calls, in seconds. */
-    private static final double MAX_PAUSE_SECONDS = STEP_SECONDS;
-    /** Seconds for a call that is lost: what two pauses, the next answer and its way to the decisions leave. */
-    private static final double ANSWER_SECONDS = UPDATE_DUE_SECONDS - 2 * MAX_PAUSE_SECONDS - 2 * STEP_SECONDS;
+    private static final double MAX_PAUSE_SECONDS = DELIVERY_SECONDS;
+    /** Seconds for a call that is lost: what two pauses, the next answer and its way to the policy leave. */
+    private static final double ANSWER_SECONDS = UPDATE_DUE_SECONDS - 2 * MAX_PAUSE_SECONDS - 2 * DELIVERY_SECONDS;
     /** Bound of the pause after an answered call, in seconds. */
     private static final double INITIAL_PAUSE_SECONDS = 0.2;
     /** Seconds after which a connection that is not established gets another one beside it. */
--- a/src/main/java/dunlinladder/membership/WatchTransition.java
+++ b/src/main/java/dunlinladder/membership/WatchTransition.java
@@ -45,7 +45,7 @@
         } else if (event instanceof WatchEvent.UpdateNotApplied notApplied) {
             rollBack(notApplied.previousVersion());
         } else if (event instanceof WatchEvent.Closed closed) {
-            find(closed.connection()).ifPresent(this::forgetClosed);
+            find(closed.connection()).ifPresent(this::removeClosed);
         }
     }
 
@@ -127,7 +127,7 @@
         pause();
     }
 
-    private void forgetClosed(WatchConnection connection) {
+    private void removeClosed(WatchConnection connection) {
         state = state.withConnections(state.connections().removing(connection.id()));
         if (connection.isTimedOut()) {
             // Its failure was counted, and its pause drawn, when it timed out.
--- a/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
+++ b/src/test/java/dunlinladder/membership/ChangeInTimeTest.java
@@ -20,7 +20,7 @@
  */
 class ChangeInTimeTest {
 
-    /** Of the six seconds one is left for what was read to reach the decisions. */
+    /** Of the six seconds one is left for what was read to reach the routing policy. */
     private static final double ON_REQUEST_BOUND_SECONDS = 5;
     /** Of the rule's time a quarter is left for the same. */
     private static final double PUSHED_BOUND_FRACTION = 0.75;
