--- a/src/main/java/dunlinladder/core/AttemptRunner.java
+++ b/src/main/java/dunlinladder/core/AttemptRunner.java
@@ -62,12 +62,12 @@
         }
         // The list may have lost the engine, or the client may have left, since the decision.
         if (forbidden || listed.isEmpty() || request.isDisconnected()) {
-            return endUnsent(request, attempt);
+            return endNotSent(request, attempt);
         }
         FirstTokenTime firstToken = new FirstTokenTime();
         Optional<EngineTransport.Call> call = send(request, attempt, firstToken);
         if (call.isEmpty()) {
-            return endUnsent(request, attempt);
+            return endNotSent(request, attempt);
         }
         Outcome outcome = call.get().await();
         double endedAt = clock.now();
@@ -110,7 +110,7 @@
     }
 
     /** Nothing of an attempt was sent; true when nothing is owed to the client any more, as it has left. */
-    private boolean endUnsent(InFlightRequest request, Attempt attempt) {
+    private boolean endNotSent(InFlightRequest request, Attempt attempt) {
         boolean disconnected = request.isDisconnected();
         Outcome outcome = Outcome.of(Outcome.Ending.CONNECT_FAILED);
         request.history().recordEnd(outcome, clock.now());
--- a/src/main/java/dunlinladder/migration/FormatEvidence.java
+++ b/src/main/java/dunlinladder/migration/FormatEvidence.java
@@ -54,14 +54,14 @@
      * @param repeatable whether the request may run again
      */
     boolean mayReceive(EngineFormat engine, double startedAt, boolean repeatable, double now) {
-        dropIfRestarted(engine, startedAt);
+        discardIfRestarted(engine, startedAt);
         Ejection ejection = ejections.get(engine);
         return ejection == null || repeatable && !ejection.probeInFlight && now >= ejection.ejectedUntil;
     }
 
     /** Records that a request goes to an engine; true when it is a probe of an ejected one. */
     boolean recordSent(EngineFormat engine, double startedAt) {
-        dropIfRestarted(engine, startedAt);
+        discardIfRestarted(engine, startedAt);
         Ejection ejection = ejections.get(engine);
         if (ejection == null) {
             return false;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Drops what is known of engines, by their id, that are no longer listed. */
+    /** Discards what is known of engines, by their id, that are no longer listed. */
     void retain(Predicate<String> listed) {
         ejections.keySet().removeIf(engine -> !listed.test(engine.engineId()));
     }
@@ -103,7 +103,7 @@
         return ejections.size();
     }
 
-    private void dropIfRestarted(EngineFormat engine, double startedAt) {
+    private void discardIfRestarted(EngineFormat engine, double startedAt) {
         Ejection ejection = ejections.get(engine);
         if (ejection != null && startedAt > ejection.processStartedAt) {
             ejections.remove(engine);
--- a/src/main/java/dunlinladder/migration/MigrationProgress.java
+++ b/src/main/java/dunlinladder/migration/MigrationProgress.java
@@ -113,14 +113,14 @@
         Optional<String> fault = fault();
         if (fault.isPresent()) {
             reason = fault.get();
-            stepBackOrStop(now);
+            goBackOrStop(now);
         } else if (now >= nextStageDueAt
                 && newGeneration.answers() >= plan.stop().minAnswers()) {
             openNextOrFinish(now);
         }
     }
 
-    private void stepBackOrStop(double now) {
+    private void goBackOrStop(double now) {
         if (!plan.stop().stepsBack() || stepsBack >= MAX_STEPS_BACK) {
             state = State.STOPPED;
         } else {
--- /dev/null
+++ b/src/test/java/dunlinladder/core/AttemptHistoryTest.java
@@ -0,0 +1,40 @@
+package dunlinladder.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+/** What is certain of a request's attempts, and how the log states it. */
+class AttemptHistoryTest {
+
+    private final AttemptHistory history = new AttemptHistory();
+
+    private static Attempt attempt(int number, String engine, boolean mayHaveEffect) {
+        Request request = RequestBuilder.request("id").build();
+        return new Attempt(request, number, EngineBuilder.engine(engine).build(), 10, mayHaveEffect);
+    }
+
+    @Test
+    void anAttemptInFlightMayHaveRunAndHasNoOutcome() {
+        assertEquals(Optional.empty(), history.lastOutcome());
+        history.recordSent(attempt(0, "m1", true), 5);
+        assertTrue(history.mayHaveRun());
+        assertEquals(Optional.empty(), history.lastOutcome());
+        Outcome full = Outcome.of(Outcome.Ending.FULL);
+        history.recordEnd(full, 5.5);
+        assertFalse(history.mayHaveRun());
+        assertEquals(Optional.of(full), history.lastOutcome());
+    }
+
+    @Test
+    void writesTimesFromTheFirstSend() {
+        assertEquals("[]", history.logText());
+        history.recordSent(attempt(0, "r1", false), 5);
+        history.recordEnd(Outcome.of(Outcome.Ending.PREFILLED), 5.25);
+        history.recordSent(attempt(1, "w1", true), 5.5);
+        assertEquals("[0 at r1 prefill_only 0.000-0.250 PREFILLED; 1 at w1 0.500-0.500 in flight]", history.logText());
+    }
+}
--- a/src/test/java/dunlinladder/core/DispatcherTest.java
+++ b/src/test/java/dunlinladder/core/DispatcherTest.java
@@ -18,15 +18,15 @@
 /** The rule on idempotence is kept by the facts of the attempts, whatever the routing policy decides. */
 class DispatcherTest {
 
-    private static final int LOOKUP = 0;
-    private static final int LISTING = 1;
+    private static final int IDEMPOTENT = 0;
+    private static final int NON_IDEMPOTENT = 1;
     private static final int PREFILL_KIND = 0;
     private static final int DECODE_KIND = 1;
     private static final int MIXED_KIND = 2;
     private static final ServiceRules RULES = new ServiceRules() {
         @Override
         public boolean isNonIdempotent(int serviceClass) {
-            return serviceClass == LISTING;
+            return serviceClass == NON_IDEMPOTENT;
         }
 
         @Override
@@ -183,7 +183,9 @@
         assertEquals(List.of(answer), answers);
     }
 
-    /** The engine leaves the list, or is listed as a prefill engine, while a listing is in flight at it. */
+    /**
+     * The engine leaves the list, or is listed as a prefill engine, while a non-idempotent request is in flight at it.
+     */
     @ParameterizedTest
     @CsvSource({
         "TIMEOUT, LEFT, fail",
@@ -203,7 +205,7 @@
                         .kind(PREFILL_KIND)
                         .state(state)
                         .build()));
-        submit(LISTING);
+        submit(NON_IDEMPOTENT);
         assertEquals(List.of(answer), answers);
     }
 
@@ -215,7 +217,7 @@
                 new RoutingDecision.Forward("w1", 0),
                 new RoutingDecision.Reject(0)));
         endings.add(Ending.RESET);
-        submit(LISTING);
+        submit(NON_IDEMPOTENT);
         assertEquals(List.of("m1"), sent);
         assertEquals(List.of(Ending.RESET, Ending.CONNECT_FAILED), reportedEndings);
         assertEquals(List.of("fail"), answers);
@@ -236,7 +238,7 @@
                 dispatcher.clientDisconnected("id");
             }
         };
-        submit(LOOKUP);
+        submit(IDEMPOTENT);
         assertEquals(attempts, String.join(" ", sent));
         assertEquals(List.of("disconnected"), answers);
         assertEquals(Ending.CONNECT_FAILED, reportedEndings.get(after), "it never went out");
@@ -248,7 +250,7 @@
         list(Engine.State.ACTIVE, "m1");
         decisions.add(new RoutingDecision.Forward("m1", 0));
         endings.add(Ending.REJECTED);
-        submit(LOOKUP);
+        submit(IDEMPOTENT);
         assertEquals(List.of("fail"), answers);
         assertEquals(List.of("m1"), sent);
     }
@@ -258,7 +260,7 @@
         list(Engine.State.ACTIVE, "m1", "w1");
         decisions.addAll(List.of(new RoutingDecision.Forward("m1", 0), new RoutingDecision.Forward("w1", 0)));
         endings.addAll(List.of(Ending.RESET, Ending.OK));
-        submit(LOOKUP);
+        submit(IDEMPOTENT);
         assertEquals(List.of("m1", "w1"), sent);
         assertEquals(List.of("complete"), answers);
     }
--- a/src/test/java/dunlinladder/core/EngineRegistryTest.java
+++ b/src/test/java/dunlinladder/core/EngineRegistryTest.java
@@ -15,50 +15,50 @@
     private final EngineRegistry engines = new EngineRegistry();
 
     private static Engine engine(String id, String address, Engine.State state) {
-        return new Engine(id, address, 0, 0, 0, state, 1, 0);
+        return EngineBuilder.engine(id).address(address).state(state).build();
     }
 
     @Test
-    void idsThatComeAndGoWithinOneChangeEndAsItsLastEntrySays() {
+    void theLastOfSeveralEntriesForAnEngineInOneUpdateCounts() {
         engines.apply(RequestRouter.Scope.COMPLETE, List.of(engine("x", "10.0.0.1:80", Engine.State.ACTIVE)));
         Engine before = engines.find("x").orElseThrow();
-        Engine back = engine("x", "10.0.0.2:80", Engine.State.ACTIVE);
-        Engine brief = engine("y", "10.0.0.3:80", Engine.State.ACTIVE);
+        Engine restarted = engine("x", "10.0.0.2:80", Engine.State.ACTIVE);
+        Engine shortLived = engine("y", "10.0.0.3:80", Engine.State.ACTIVE);
         engines.apply(
                 RequestRouter.Scope.CHANGES,
                 List.of(
                         engine("x", "10.0.0.1:80", Engine.State.LEFT),
-                        back,
-                        brief,
+                        restarted,
+                        shortLived,
                         engine("y", "10.0.0.3:80", Engine.State.LEAVING),
                         engine("y", "10.0.0.3:80", Engine.State.LEFT)));
         assertFalse(engines.accepts(before), "decided for the address before the restart");
-        assertTrue(engines.accepts(back));
+        assertTrue(engines.accepts(restarted));
         assertEquals(Optional.empty(), engines.find("y"));
-        assertFalse(engines.accepts(brief));
+        assertFalse(engines.accepts(shortLived));
     }
 
-    /** Six in ten of sixty engines are replaced again and again: only those that live are held. */
+    /** Six in ten of sixty engines are replaced again and again. */
     @Test
-    void isBoundedByTheEnginesThatLive() {
-        List<Engine> live = new ArrayList<>();
+    void holdsListedEnginesOnlyHoweverManyAreReplaced() {
+        List<Engine> running = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            live.add(engine("e" + i, "10.0.1." + i + ":80", Engine.State.ACTIVE));
+            running.add(engine("e" + i, "10.0.1." + i + ":80", Engine.State.ACTIVE));
         }
-        engines.apply(RequestRouter.Scope.COMPLETE, live);
+        engines.apply(RequestRouter.Scope.COMPLETE, running);
         for (int round = 0; round < 50; round++) {
             List<Engine> change = new ArrayList<>();
             for (int i = 0; i < 36; i++) {
-                Engine old = live.get(i);
+                Engine old = running.get(i);
                 change.add(engine(old.id(), old.address(), Engine.State.LEFT));
-                live.set(i, engine("e" + round + "-" + i, "10.0.2." + i + ":80", Engine.State.ACTIVE));
-                change.add(live.get(i));
+                running.set(i, engine("e" + round + "-" + i, "10.0.2." + i + ":80", Engine.State.ACTIVE));
+                change.add(running.get(i));
             }
             engines.apply(RequestRouter.Scope.CHANGES, change);
             assertEquals(60, engines.size());
         }
-        assertTrue(live.stream().allMatch(engines::accepts));
-        engines.apply(RequestRouter.Scope.COMPLETE, live.subList(0, 3));
+        assertTrue(running.stream().allMatch(engines::accepts));
+        engines.apply(RequestRouter.Scope.COMPLETE, running.subList(0, 3));
         assertEquals(3, engines.size());
     }
 }
--- a/src/test/java/dunlinladder/core/ReleaseOrderTest.java
+++ b/src/test/java/dunlinladder/core/ReleaseOrderTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who is asked to let go of what is held: by zones in turn, the latest to answer first. */
+/** Which engines are asked to free a KV cache: by zones in turn, the latest to answer first. */
 class ReleaseOrderTest {
 
     private static Engine engine(String id, int zone, Engine.State state) {
-        return new Engine(id, id, zone, 0, 0, state, 1, 0);
+        return EngineBuilder.engine(id).address(id).zone(zone).state(state).build();
     }
 
     private static final List<Engine> LISTED = List.of(
@@ -26,22 +26,23 @@
 
     @ParameterizedTest
     @CsvSource({
-        "a1=9 a2=8 b1=7,      a1 b1 c1 a2 a3 b2", // a cut of zone 0 is left with the second
+        "a1=9 a2=8 b1=7,      a1 b1 c1 a2 a3 b2", // after a partition of zone 0 the second is asked elsewhere
         "a2=9 c1=7,           a2 c1 b1 a1 a3 b2",
         "a2=3 b2=9,           a2 b1 c1 a1 b2 a3", // draining ones last, however lately they answered
         "c1=1,                c1 a1 b1 a2 a3 b2"
     })
-    void zonesTakeTurns(String answered, String order) {
-        Map<String, Long> at = new HashMap<>();
+    void zonesTakeTurnsAndDrainingEnginesComeLast(String answered, String order) {
+        Map<String, Long> answeredAt = new HashMap<>();
         for (String each : answered.trim().split(" ")) {
-            at.put(each.substring(0, 2), Long.parseLong(each.substring(3)));
+            answeredAt.put(each.substring(0, 2), Long.parseLong(each.substring(3)));
         }
-        List<String> ids = ReleaseOrder.of(LISTED, at).stream().map(Engine::id).toList();
+        List<String> ids =
+                ReleaseOrder.of(LISTED, answeredAt).stream().map(Engine::id).toList();
         assertEquals(List.of(order.split(" ")), ids);
     }
 
     @Test
-    void nothingListedIsNobodyAsked() {
+    void isEmptyWhenNoEngineIsListed() {
         assertEquals(List.of(), ReleaseOrder.of(List.of(), Map.of("a1", 1L)));
     }
 }
--- a/src/test/java/dunlinladder/core/SecondsTest.java
+++ b/src/test/java/dunlinladder/core/SecondsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Times in headers. */
+/** Times as headers and the log state them. */
 class SecondsTest {
 
     @ParameterizedTest
@@ -20,7 +20,7 @@
         "-1, 0.000",
         "100000, 100000.000"
     })
-    void threeDecimals(double seconds, String text) {
+    void writesThreeDecimalsAndNoSign(double seconds, String text) {
         assertEquals(text, Seconds.text(seconds));
     }
 }
