--- a/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
@@ -5,7 +5,7 @@
 import dunlinladder.routing.Router;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
-import dunlinladder.transport.simulator.SettingsReader;
+import dunlinladder.transport.settings.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package dunlinladder.transport.simulator;
+package dunlinladder.transport.settings;
 
 import dunlinladder.routing.Router;
 import dunlinladder.transport.json.InvalidInputException;
--- a/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
@@ -4,6 +4,7 @@
 import dunlinladder.routing.RoutingPolicy;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.settings.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
--- a/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -7,7 +7,7 @@
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
-import dunlinladder.transport.simulator.SettingsReader;
+import dunlinladder.transport.settings.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
