--- a/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
+++ b/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
@@ -28,7 +28,7 @@
 
             data: [DONE]
 
-            : X-HttpListener-Load: latency_ms=1.0,x0=0.5,x1=1.0
+            : X-Server-Load: latency_ms=1.0,x0=0.5,x1=1.0
 
             """;
 
