--- a/deploy/fleet-counts.py
+++ b/deploy/fleet-counts.py
@@ -67,7 +67,7 @@
         elif event in ("refused", "failed"):
             trail = re.findall(r"([A-Z_]+)(?:;|])", field.get("attempts", ""))
             finals[second][f"{event} class {field.get('class')} after {'>'.join(trail) or 'nothing'}"] += 1
-        elif event == "list":
+        elif event == "endpoints_updated":
             lists[gateway].append((at, field.get("version")))
         elif event == "call_failed":
             calls[gateway] += 1
--- a/src/main/java/dunlinladder/demo/Demo.java
+++ b/src/main/java/dunlinladder/demo/Demo.java
@@ -142,11 +142,11 @@
         StringBuilder before = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             before.append(line).append('\n');
-            if (line.contains(" speaks chat on ")) {
+            if (line.contains(" front=chat ")) {
                 Thread drain = new Thread(() -> skip(log), "log");
                 drain.setDaemon(true);
                 drain.start();
-                return Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1));
+                return Integer.parseInt(line.substring(line.lastIndexOf("port=") + 5));
             }
         }
         throw new IOException("the gateway did not come up:\n" + before);
--- a/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -6,7 +6,6 @@
 import dunlinladder.transport.chat.ChatSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -24,9 +23,6 @@
     private static final Pattern ENVIRONMENT = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
     private static final int MOST_TOKENS = 800;
 
-    /** The chat front as it is to be started. */
-    record Chat(InetSocketAddress listen, ChatSettings settings) {}
-
     private ChatConfigReader() {}
 
     /** Reads the file's text; an error names the faulty key. */
@@ -49,7 +45,7 @@
 
     /** Checks what can be checked without the deployment's settings. */
     static void check(Map<String, String> flat) {
-        GatewayConfig.address(flat.get("listen"), "listen");
+        GatewayConfigReader.parseAddress(flat.get("listen"), "listen");
         if (names(flat, "keys").isEmpty() || names(flat, "models").isEmpty()) {
             throw new InvalidInputException("keys and models must each name at least one");
         }
@@ -107,14 +103,14 @@
 
     /** Checks names against the deployment's classes and tenants. */
     static void check(Map<String, String> flat, GatewayConfig config) {
-        MigrationConfigReader.read(flat, config.kinds(), config.zones());
+        MigrationConfigReader.read(flat, config.names().kinds(), config.names().zones());
         flat.forEach((key, value) -> {
             if (key.startsWith("deadlines.")) {
-                index(config.classes(), key.substring(10), key, "class");
-            } else if (key.startsWith("keys.") && !config.tenants().isEmpty()) {
-                index(config.tenants(), value, key, "tenant");
+                index(config.names().classes(), key.substring(10), key, "class");
+            } else if (key.startsWith("keys.") && !config.names().tenants().isEmpty()) {
+                index(config.names().tenants(), value, key, "tenant");
             } else if (key.startsWith("models.") && key.endsWith(".class")) {
-                index(config.classes(), value, key, "class");
+                index(config.names().classes(), value, key, "class");
             }
         });
     }
@@ -128,7 +124,7 @@
     }
 
     /** The front that applied settings describe; secrets come from the environment. */
-    static Chat chat(Map<String, String> flat, GatewayConfig config, Map<String, String> environment) {
+    static ChatFrontConfig chat(Map<String, String> flat, GatewayConfig config, Map<String, String> environment) {
         check(flat);
         check(flat, config);
         Map<String, Integer> tenants = new TreeMap<>();
@@ -137,7 +133,9 @@
             if (secret.isBlank()
                     || tenants.put(
                                     secret,
-                                    Math.max(0, config.tenants().indexOf(flat.get("keys." + variable + ".tenant"))))
+                                    Math.max(
+                                            0,
+                                            config.names().tenants().indexOf(flat.get("keys." + variable + ".tenant"))))
                             != null) {
                 throw new InvalidInputException("keys." + variable + ": the environment variable " + variable
                         + " is not set, or holds the same key as another");
@@ -147,23 +145,25 @@
         for (String model : names(flat, "models")) {
             models.put(
                     model,
-                    new ChatSettings.Model(config.classes().indexOf(flat.get("models." + model + ".class")), (int)
-                            Double.parseDouble(flat.getOrDefault(
+                    new ChatSettings.Model(
+                            config.names().classes().indexOf(flat.get("models." + model + ".class")),
+                            (int) Double.parseDouble(flat.getOrDefault(
                                     "models." + model + ".max_tokens", String.valueOf(MOST_TOKENS)))));
         }
         List<Double> deadlines = new ArrayList<>();
-        for (int i = 0; i < config.classes().size(); i++) {
-            String own = flat.get("deadlines." + config.classes().get(i));
+        for (int i = 0; i < config.names().classes().size(); i++) {
+            String own = flat.get("deadlines." + config.names().classes().get(i));
             deadlines.add(own == null ? config.deadlines().get(i) : Double.valueOf(own));
         }
-        List<Generation> generations = MigrationConfigReader.read(flat, config.kinds(), config.zones());
-        return new Chat(
-                GatewayConfig.address(flat.get("listen"), "listen"),
+        List<Generation> generations = MigrationConfigReader.read(
+                flat, config.names().kinds(), config.names().zones());
+        return new ChatFrontConfig(
+                GatewayConfigReader.parseAddress(flat.get("listen"), "listen"),
                 new ChatSettings(
                         tenants,
                         models,
                         deadlines,
-                        config.settings().classes().stream()
+                        config.routing().classes().stream()
                                 .map(c -> c.effect() == Router.Effect.UNSAFE)
                                 .toList(),
                         generations,
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -1,276 +1,229 @@
 package dunlinladder.lifecycle;
 
 import dunlinladder.core.Clock;
-import dunlinladder.core.Dispatcher;
-import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
-import dunlinladder.core.SendGuard;
-import dunlinladder.membership.EndpointUpdate;
-import dunlinladder.migration.EngineEligibility;
 import dunlinladder.migration.Generation;
-import dunlinladder.routing.BlockingRequestRouter;
-import dunlinladder.routing.Router;
 import dunlinladder.transport.chat.ChatExchange;
-import dunlinladder.transport.discovery.EndpointListReader;
-import dunlinladder.transport.discovery.EndpointWatcher;
-import dunlinladder.transport.engine.EngineClient;
-import dunlinladder.transport.engine.EngineConnectionPool;
-import dunlinladder.transport.engine.SchedulingLagMonitor;
 import dunlinladder.transport.http.HttpListener;
-import dunlinladder.transport.platform.PlatformExchange;
-import dunlinladder.transport.platform.PlatformRequestReader;
 import java.io.IOException;
-import java.util.List;
-import java.util.concurrent.Executor;
+import java.net.InetSocketAddress;
+import java.util.Optional;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.SynchronousQueue;
-import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts the parts together, starts them and stops them. */
+/**
+ * The life of a gateway: starts its parts, takes up a new configuration, drains and stops. {@link GatewayAssembly}
+ * builds the parts.
+ *
+ * <p>Threads that this class starts, all of them daemons:
+ *
+ * <ul>
+ *   <li>{@code timer} runs everything that recurs, and the time-outs of the calls to engines;
+ *   <li>{@code discovery} owns the watch of the endpoints;
+ *   <li>{@code routing-timers} hands the routing policy the timers that it has set, when they are due;
+ *   <li>{@code configuration} reads the configuration again while discovery does not answer; it lives for one look.
+ * </ul>
+ *
+ * <p>{@link #start} and {@link #stop} exclude each other by this object's monitor, which guards all changes of the
+ * state; the fronts read the state without it.
+ */
 final class Gateway {
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Between two closings of the clients' connections that have reached a time-out. */
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
+    /** Between two closings of the connections to engines that were idle too long. */
+    private static final long ENGINE_SWEEP_INTERVAL_SECONDS = 1;
+
+    private static final long MIGRATION_INTERVAL_SECONDS = 1;
+    private static final long DISCOVERY_CHECK_INTERVAL_SECONDS = 1;
+    /** Between two looks at whether the last requests or connections have ended. */
+    private static final long STOP_POLL_MILLIS = 20;
+
     private final GatewayConfig config;
-    private final ChatConfigReader.Chat operator;
+    private final Optional<ChatFrontConfig> chat;
     private final Limits limits;
-    private final EngineRegistry engines = new EngineRegistry();
     private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "timer"));
-    private final EngineClient client;
-    private final BlockingRequestRouter decisions;
-    private final Dispatcher dispatcher;
-    private final HttpListener server;
-    private final HttpListener chat;
-    private final List<HttpListener> servers;
-    private final EndpointListReader hosts;
-    private final EndpointUpdate known;
-    /** Tells the decisions of news in order; the list itself does not wait for them. */
-    private final Executor told = Executors.newSingleThreadExecutor(task -> daemon(task, "news"));
+            Executors.newSingleThreadScheduledExecutor(task -> DaemonThreads.create(task, "timer"));
+    private final GatewayAssembly parts;
+    private volatile LifecycleState state = LifecycleState.STARTING;
 
-    private final EndpointWatcher watch;
-    private boolean started;
-    private volatile boolean draining;
-    private volatile boolean closing;
-
-    /** Creates a gateway; {@code operator} is null where the chat front is off. */
-    Gateway(GatewayConfig config, ChatConfigReader.Chat operator) throws IOException {
+    /**
+     * Creates a gateway.
+     *
+     * @param chat the chat front; empty where it is off
+     * @throws dunlinladder.transport.json.InvalidInputException where the configuration's own list has a fault
+     */
+    Gateway(GatewayConfig config, Optional<ChatFrontConfig> chat) throws IOException {
         this.config = config;
-        this.operator = operator;
+        this.chat = chat;
         this.limits = config.limits();
-        Clock clock = new Clock();
-        EngineConnectionPool connections = new EngineConnectionPool(limits, timer);
-        SendGuard gate = new SendGuard(engines, clock, limits.sendGuardSeconds());
-        client = new EngineClient(connections, engines, gate, clock, limits, timer);
-        SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections);
-        decisions = new BlockingRequestRouter(
-                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.maxLagSeconds());
+        parts = new GatewayAssembly(config, chat, timer, () -> state);
+        scheduleRecurringTasks();
+    }
+
+    private void scheduleRecurringTasks() {
         timer.scheduleWithFixedDelay(
-                () -> {
-                    pulse.beat();
-                    decisions.pulse();
-                },
+                this::checkSchedulingLag,
                 0,
-                (long) (limits.lagCheckSeconds() * 1e6),
+                (long) (limits.lagCheckSeconds() * MICROS_PER_SECOND),
                 TimeUnit.MICROSECONDS);
-        ThreadPoolExecutor pool = new ThreadPoolExecutor(
-                4, limits.requests(), 10, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, "request"));
-        dispatcher = new Dispatcher(decisions, engines, client, pool, clock, limits, policy(config.settings()));
-        AtomicLong bodies = new AtomicLong();
-        PlatformExchange.Shared shared = new PlatformExchange.Shared(
-                dispatcher,
-                new PlatformRequestReader(config.classes(), config.deadlines(), config.tenants()),
-                clock,
-                limits,
-                () -> draining,
-                () -> closing,
-                bodies);
-        // The fronts share the descriptors that are meant for clients.
-        int clients = limits.clientConnections() / (operator == null ? 1 : 2);
-        server = new HttpListener(clients, limits, () -> new PlatformExchange(shared));
-        ChatExchange.Shared chats = operator == null
-                ? null
-                : new ChatExchange.Shared(
-                        dispatcher, operator.settings(), routing(clock), engines, clock, limits, () -> closing, bodies);
-        chat = operator == null ? null : new HttpListener(clients, limits, () -> new ChatExchange(chats));
-        hosts = new EndpointListReader(config.zones(), config.kinds());
-        known = known(config);
-        watch = new EndpointWatcher(
-                hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
-        gate.setUnreadUpdateCheck(watch::hasUnreadUpdate);
-        servers = chat == null ? List.of(server) : List.of(server, chat);
-        timer.scheduleWithFixedDelay(() -> servers.forEach(HttpListener::sweep), 100, 100, TimeUnit.MILLISECONDS);
-        timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
-    }
-
-    private static Dispatcher.Policy policy(Router.Settings settings) {
-        return new Dispatcher.Policy() {
-            @Override
-            public boolean once(int serviceClass) {
-                return settings.classes().get(serviceClass).effect() == Router.Effect.UNSAFE;
-            }
-
-            @Override
-            public boolean readsOnly(int kind) {
-                return kind < settings.roleByKind().size()
-                        && settings.roleByKind().get(kind) == Router.Role.PREFILL;
-            }
-        };
-    }
-
-    /** Which engines may have which of the chat front's requests; its standing is logged when it changes. */
-    private EngineEligibility routing(Clock clock) {
-        List<Router.Role> roles = config.settings().roleByKind();
-        EngineEligibility routing = new EngineEligibility(
-                operator.settings().engines(),
-                operator.settings().move(),
-                engines::listed,
-                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED) {
-                    case PREFILL -> EngineEligibility.READS;
-                    case DECODE -> EngineEligibility.WRITES;
-                    case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
-                },
-                config.seed(),
-                clock.now());
-        String[] told = {""};
+        Clock clock = parts.clock();
+        parts.eligibility()
+                .ifPresent(eligibility -> timer.scheduleWithFixedDelay(
+                        new MigrationStatusLog(eligibility, clock),
+                        MIGRATION_INTERVAL_SECONDS,
+                        MIGRATION_INTERVAL_SECONDS,
+                        TimeUnit.SECONDS));
         timer.scheduleWithFixedDelay(
-                () -> {
-                    routing.tick(clock.now());
-                    if (!told[0].equals(routing.standing())) {
-                        told[0] = routing.standing();
-                        LOG.info("event=generations {}", told[0]);
-                    }
-                },
-                1,
-                1,
+                () -> parts.fronts().forEach(HttpListener::sweep),
+                SWEEP_INTERVAL_MILLIS,
+                SWEEP_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                parts.engineConnections()::closeIdle,
+                ENGINE_SWEEP_INTERVAL_SECONDS,
+                ENGINE_SWEEP_INTERVAL_SECONDS,
                 TimeUnit.SECONDS);
-        return routing;
     }
 
-    private static Thread daemon(Runnable task, String name) {
-        Thread thread = new Thread(task, name);
-        thread.setDaemon(true);
-        return thread;
+    private void checkSchedulingLag() {
+        parts.lagMonitor().beat();
+        parts.router().pulse();
     }
 
-    /** Starts all parts; clients are let in last. */
+    /**
+     * Starts all parts; clients are let in last.
+     *
+     * @return the port of the platform's front
+     * @throws IOException where an address is taken or not this host's
+     */
     synchronized int start() throws IOException, InterruptedException {
-        if (known != null) {
-            learn(known);
-        }
-        watch.moveTo(config.discovery());
-        daemon(watch, "discovery").start();
-        daemon(this::tick, "decisions").start();
-        int port = server.listen(config.listen());
-        LOG.info("{} listens on {} port {}", config.name(), config.listen(), port);
-        if (chat != null) {
-            ChatExchange.warm(operator.settings().engines().stream()
+        parts.cachedEndpoints().ifPresent(parts.endpointUpdates());
+        parts.endpointWatcher().moveTo(config.discovery().address());
+        DaemonThreads.create(parts.endpointWatcher(), "discovery").start();
+        DaemonThreads.create(this::runRoutingTimers, "routing-timers").start();
+        int port = listen("platform", parts.platformFront(), config.listen());
+        if (chat.isPresent()) {
+            ChatExchange.warm(chat.get().settings().engines().stream()
                     .map(Generation::format)
                     .distinct()
                     .toList());
-            LOG.info("{} speaks chat on {} port {}", config.name(), operator.listen(), chat.listen(operator.listen()));
+            listen("chat", parts.chatFront().orElseThrow(), chat.get().listen());
         }
-        started = true;
+        state = LifecycleState.RUNNING;
         return port;
     }
 
-    /** Runs {@code look} on a thread of its own about once a second while discovery does not answer. */
-    void whileDiscoveryIsLost(Runnable look) {
+    private int listen(String frontName, HttpListener front, InetSocketAddress address)
+            throws IOException, InterruptedException {
+        int port = front.listen(address);
+        LOG.info(
+                "event=listening gateway={} front={} address={} port={}",
+                config.identity().name(),
+                frontName,
+                address.getHostString(),
+                port);
+        return port;
+    }
+
+    private void runRoutingTimers() {
+        try {
+            while (true) {
+                parts.router().tick();
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Runs {@code task} on a thread of its own about once a second while discovery does not answer. */
+    void whileDiscoveryIsLost(Runnable task) {
         timer.scheduleWithFixedDelay(
                 () -> {
-                    if (watch.lastCallFailed()) {
-                        daemon(look, "configuration").start();
+                    if (parts.endpointWatcher().lastCallFailed()) {
+                        DaemonThreads.create(task, "configuration").start();
                     }
                 },
-                1,
-                1,
+                DISCOVERY_CHECK_INTERVAL_SECONDS,
+                DISCOVERY_CHECK_INTERVAL_SECONDS,
                 TimeUnit.SECONDS);
     }
 
-    /** The list of engines that a configuration holds, checked; null where it has none. */
-    private EndpointUpdate known(GatewayConfig from) {
-        return from.known().has("hosts") ? hosts.read(from.known(), true) : null;
-    }
-
     /**
-     * Takes up a new configuration: the address of discovery. What else the file says takes effect at the next start,
-     * but all of it is checked, so that a file with faults changes nothing.
+     * Takes up the address of discovery of a new configuration. What else it says takes effect at the next start, but
+     * all of it is checked, so that a file with faults changes nothing.
+     *
+     * @throws dunlinladder.transport.json.InvalidInputException where the configuration's own list has a fault
      */
-    void reload(GatewayConfig next) throws IOException {
-        known(next);
-        watch.moveTo(next.discovery());
+    void reload(GatewayConfig next) {
+        parts.readCachedEndpoints(next);
+        parts.endpointWatcher().moveTo(next.discovery().address());
     }
 
     /**
-     * The list is put in place at once, before the module may send to what it names, and holds for what is on its way
-     * to an engine; the module hears of it when its lock is free.
+     * Stops in order: the front is asked to send clients elsewhere, nothing new is accepted, what was accepted is
+     * finished, and the connections are closed. A start in progress is waited for.
+     *
+     * @return false, and nothing done, where the gateway is not running
      */
-    private void learn(EndpointUpdate news) {
-        if (!news.isSnapshot() || !news.engines().isEmpty()) {
-            engines.apply(news.scope(), news.engines());
-            LOG.debug(
-                    "event=list version={} scope={} named={} listed={}",
-                    news.version(),
-                    news.scope(),
-                    news.engines().size(),
-                    engines.size());
-            told.execute(() -> decisions.endpointsUpdated(news.scope(), news.engines()));
+    synchronized boolean stop() throws InterruptedException, IOException {
+        if (state != LifecycleState.RUNNING) {
+            return false;
         }
+        LOG.info("event=stopping requests={}", parts.dispatcher().activeRequests());
+        drain();
+        stopAccepting();
+        finishRequests();
+        awaitClientConnections();
+        parts.fronts().forEach(HttpListener::close);
+        state = LifecycleState.CLOSED;
+        LOG.info("event=stopped");
+        return true;
     }
 
-    private void tick() {
-        try {
-            while (true) {
-                decisions.tick();
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    /** Only {@code /up} says no at first, as connections keep coming until the front has seen it. */
+    private void drain() throws InterruptedException {
+        state = LifecycleState.DRAINING;
+        Thread.sleep((long) (limits.drainSeconds() * MILLIS_PER_SECOND));
     }
 
-    /**
-     * An orderly end: first only {@code /up} says no, as connections keep coming until the front has seen it; then
-     * nothing new is accepted, idle connections close, and what was taken is finished. False, and nothing done, where
-     * it has not started; one that is just starting is waited for.
-     */
-    synchronized boolean stop() throws InterruptedException, IOException {
-        if (!started) {
-            return false;
-        }
-        LOG.info("stopping with {} requests", dispatcher.activeRequests());
-        draining = true;
-        Thread.sleep((long) (limits.drainSeconds() * 1000));
-        closing = true;
-        for (HttpListener each : servers) {
-            each.stopListening();
+    private void stopAccepting() throws IOException {
+        state = LifecycleState.CLOSING;
+        for (HttpListener front : parts.fronts()) {
+            front.stopListening();
         }
-        // What is held at engines for a request outlives its answer until a release has arrived.
-        while (dispatcher.activeRequests() > 0 || client.releasing() > 0) {
-            closeIdle();
-            Thread.sleep(20);
+    }
+
+    /** Releases are waited for as well: engines hold a KV cache until a release of it has arrived. */
+    private void finishRequests() throws InterruptedException {
+        while (parts.dispatcher().activeRequests() > 0 || parts.engineClient().releasing() > 0) {
+            closeIdleConnections();
+            Thread.sleep(STOP_POLL_MILLIS);
         }
-        // Requests that are still on their way in, answers on their way out: each has its own bound under
-        // this.
-        long until = System.nanoTime() + (long) (limits.stallSeconds() * 1e9);
-        while (!closeIdle() && System.nanoTime() < until) {
-            Thread.sleep(20);
+    }
+
+    /** Requests still on their way in and answers on their way out each have a bound of their own below this one. */
+    private void awaitClientConnections() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + (long) (limits.stallSeconds() * NANOS_PER_SECOND);
+        while (!closeIdleConnections() && System.nanoTime() < deadlineNanos) {
+            Thread.sleep(STOP_POLL_MILLIS);
         }
-        servers.forEach(HttpListener::close);
-        LOG.info("stopped");
-        return true;
     }
 
-    /** Closes what rests, true when no client's connection is left. */
-    private boolean closeIdle() {
-        boolean none = true;
-        for (HttpListener each : servers) {
-            none &= each.closeIdle();
+    /** Closes the clients' connections without a request; true when no connection is left. */
+    private boolean closeIdleConnections() {
+        boolean noneLeft = true;
+        for (HttpListener front : parts.fronts()) {
+            noneLeft &= front.closeIdle();
         }
-        return none;
+        return noneLeft;
     }
 }
--- /dev/null
+++ b/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
@@ -0,0 +1,255 @@
+package dunlinladder.lifecycle;
+
+import dunlinladder.core.Clock;
+import dunlinladder.core.Dispatcher;
+import dunlinladder.core.Engine;
+import dunlinladder.core.EngineRegistry;
+import dunlinladder.core.Limits;
+import dunlinladder.core.SendGuard;
+import dunlinladder.membership.EndpointUpdate;
+import dunlinladder.migration.EngineEligibility;
+import dunlinladder.routing.BlockingRequestRouter;
+import dunlinladder.routing.Router;
+import dunlinladder.transport.chat.ChatExchange;
+import dunlinladder.transport.chat.ChatSettings;
+import dunlinladder.transport.discovery.EndpointListReader;
+import dunlinladder.transport.discovery.EndpointWatcher;
+import dunlinladder.transport.engine.EngineClient;
+import dunlinladder.transport.engine.EngineConnectionPool;
+import dunlinladder.transport.engine.SchedulingLagMonitor;
+import dunlinladder.transport.http.HttpListener;
+import dunlinladder.transport.platform.PlatformExchange;
+import dunlinladder.transport.platform.PlatformRequestReader;
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.Executor;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.SynchronousQueue;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
+
+/**
+ * Builds the parts of a gateway and connects them; {@link Gateway} starts and stops them. Nothing runs yet when the
+ * constructor returns, apart from what the parts start for themselves.
+ *
+ * <p>Immutable. The parts are shared by all threads and say themselves what guards their state.
+ */
+final class GatewayAssembly {
+
+    /** Threads that wait for requests even when there are none. */
+    private static final int MIN_REQUEST_THREADS = 4;
+    /** After which a further thread without a request ends. */
+    private static final long REQUEST_THREAD_IDLE_SECONDS = 10;
+
+    private final GatewayConfig config;
+    private final Limits limits;
+    private final Clock clock = new Clock();
+    private final EngineRegistry engines = new EngineRegistry();
+    /** Bytes of request bodies that both fronts hold now. */
+    private final AtomicLong bodyBytes = new AtomicLong();
+
+    private final Supplier<LifecycleState> state;
+
+    private final EngineConnectionPool engineConnections;
+    private final EngineClient engineClient;
+    private final SchedulingLagMonitor lagMonitor;
+    private final BlockingRequestRouter router;
+    private final Dispatcher dispatcher;
+    private final EndpointListReader endpointListReader;
+    private final Optional<EndpointUpdate> cachedEndpoints;
+    private final EndpointUpdatePublisher endpointUpdates;
+    private final EndpointWatcher endpointWatcher;
+    private final Optional<EngineEligibility> eligibility;
+    private final HttpListener platformFront;
+    private final Optional<HttpListener> chatFront;
+
+    /**
+     * Builds the parts.
+     *
+     * @param chat the chat front; empty where it is off
+     * @param timer runs the time-outs of the calls to engines
+     * @param state where the gateway stands; the fronts ask with every request
+     * @throws dunlinladder.transport.json.InvalidInputException where the configuration's own list has a fault
+     * @throws IOException where the host does not let the process have a selector
+     */
+    GatewayAssembly(
+            GatewayConfig config,
+            Optional<ChatFrontConfig> chat,
+            ScheduledExecutorService timer,
+            Supplier<LifecycleState> state)
+            throws IOException {
+        this.config = config;
+        this.limits = config.limits();
+        this.state = state;
+        endpointListReader =
+                new EndpointListReader(config.names().zones(), config.names().kinds());
+        cachedEndpoints = readCachedEndpoints(config);
+        engineConnections = new EngineConnectionPool(limits, timer);
+        SendGuard sendGuard = new SendGuard(engines, clock, limits.sendGuardSeconds());
+        engineClient = new EngineClient(engineConnections, engines, sendGuard, clock, limits, timer);
+        lagMonitor = new SchedulingLagMonitor(engineConnections);
+        router = createRouter();
+        dispatcher = new Dispatcher(
+                router,
+                engines,
+                engineClient,
+                createRequestThreads(),
+                clock,
+                limits,
+                new ServicePolicy(config.routing()));
+        eligibility = chat.map(front -> createEligibility(front.settings()));
+        int connectionsPerFront = limits.clientConnections() / (chat.isPresent() ? 2 : 1);
+        platformFront = createPlatformFront(connectionsPerFront);
+        chatFront = chat.isPresent()
+                ? Optional.of(createChatFront(connectionsPerFront, chat.get().settings()))
+                : Optional.empty();
+        endpointUpdates = new EndpointUpdatePublisher(engines, router);
+        endpointWatcher = createEndpointWatcher();
+        sendGuard.setUnreadUpdateCheck(endpointWatcher::hasUnreadUpdate);
+    }
+
+    /** Reads the engines that a configuration lists itself, with all checks; empty where it lists none. */
+    Optional<EndpointUpdate> readCachedEndpoints(GatewayConfig from) {
+        return from.discovery().cachedList().map(list -> endpointListReader.read(list, true));
+    }
+
+    private BlockingRequestRouter createRouter() {
+        return new BlockingRequestRouter(
+                config.routing(),
+                config.identity().seed(),
+                clock,
+                engineClient::release,
+                lagMonitor::lag,
+                limits.maxLagSeconds());
+    }
+
+    /** Each request is driven by a thread {@code request} of its own from its arrival to its final answer. */
+    private Executor createRequestThreads() {
+        return new ThreadPoolExecutor(
+                MIN_REQUEST_THREADS,
+                limits.requests(),
+                REQUEST_THREAD_IDLE_SECONDS,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                task -> DaemonThreads.create(task, "request"));
+    }
+
+    private HttpListener createPlatformFront(int maxConnections) throws IOException {
+        PlatformExchange.Shared shared = new PlatformExchange.Shared(
+                dispatcher,
+                new PlatformRequestReader(
+                        config.names().classes(),
+                        config.deadlines(),
+                        config.names().tenants()),
+                clock,
+                limits,
+                () -> state.get().isDraining(),
+                () -> state.get().isClosing(),
+                bodyBytes);
+        return new HttpListener(maxConnections, limits, () -> new PlatformExchange(shared));
+    }
+
+    private HttpListener createChatFront(int maxConnections, ChatSettings settings) throws IOException {
+        ChatExchange.Shared shared = new ChatExchange.Shared(
+                dispatcher,
+                settings,
+                eligibility.orElseThrow(),
+                engines,
+                clock,
+                limits,
+                () -> state.get().isClosing(),
+                bodyBytes);
+        return new HttpListener(maxConnections, limits, () -> new ChatExchange(shared));
+    }
+
+    /** Which engines may have which of the chat front's requests. */
+    private EngineEligibility createEligibility(ChatSettings settings) {
+        return new EngineEligibility(
+                settings.engines(),
+                settings.move(),
+                engines::listed,
+                this::stagesOf,
+                config.identity().seed(),
+                clock.now());
+    }
+
+    /** The stages of a request that an engine can serve; a kind that the settings do not know counts as mixed. */
+    private int stagesOf(Engine engine) {
+        List<Router.Role> roles = config.routing().roleByKind();
+        Router.Role role = engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED;
+        return switch (role) {
+            case PREFILL -> EngineEligibility.READS;
+            case DECODE -> EngineEligibility.WRITES;
+            case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
+        };
+    }
+
+    private EndpointWatcher createEndpointWatcher() {
+        return new EndpointWatcher(
+                endpointListReader,
+                config.discovery().timeouts(),
+                clock,
+                cachedEndpoints.map(EndpointUpdate::version).orElse(0L),
+                config.identity().seed(),
+                endpointUpdates);
+    }
+
+    Clock clock() {
+        return clock;
+    }
+
+    EngineConnectionPool engineConnections() {
+        return engineConnections;
+    }
+
+    EngineClient engineClient() {
+        return engineClient;
+    }
+
+    SchedulingLagMonitor lagMonitor() {
+        return lagMonitor;
+    }
+
+    BlockingRequestRouter router() {
+        return router;
+    }
+
+    Dispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    /** The engines that the configuration lists itself. */
+    Optional<EndpointUpdate> cachedEndpoints() {
+        return cachedEndpoints;
+    }
+
+    EndpointUpdatePublisher endpointUpdates() {
+        return endpointUpdates;
+    }
+
+    EndpointWatcher endpointWatcher() {
+        return endpointWatcher;
+    }
+
+    /** Empty where the chat front is off. */
+    Optional<EngineEligibility> eligibility() {
+        return eligibility;
+    }
+
+    HttpListener platformFront() {
+        return platformFront;
+    }
+
+    /** Empty where it is off. */
+    Optional<HttpListener> chatFront() {
+        return chatFront;
+    }
+
+    /** The fronts that are on; they share the connections that are meant for clients. */
+    List<HttpListener> fronts() {
+        return chatFront.map(chat -> List.of(platformFront, chat)).orElseGet(() -> List.of(platformFront));
+    }
+}
--- a/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
+++ b/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
@@ -11,6 +11,7 @@
 import java.net.URL;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Executors;
 
 /**
@@ -48,14 +49,14 @@
             exchange.getResponseBody().flush();
         });
         Gateway gateway = new Gateway(
-                GatewayConfig.read(
+                GatewayConfigReader.read(
                         JsonObject.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
                                 + "\"discovery\":\"" + at + "\",\"settings\":"
                                 + DemoConfiguration.SETTINGS.replace("\n", "")
                                 + ",\"known\":"
                                 + list.trim() + "}"),
                         Map.of()),
-                null);
+                Optional.empty());
         int port = gateway.start();
         int served = 0;
         for (int i = 0; i < ROUNDS; i++) {
--- a/src/main/java/dunlinladder/lifecycle/PlanCommands.java
+++ b/src/main/java/dunlinladder/lifecycle/PlanCommands.java
@@ -14,6 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -58,14 +59,14 @@
     }
 
     /** Prints what a file would change, and saves it where asked to. */
-    int plan(Path file, String saveTo) throws IOException {
+    int plan(Path file, Optional<Path> saveTo) throws IOException {
         Applied now = applied(state);
         SortedMap<String, String> wanted = wanted(file);
         List<String> changes = changes(now.settings, wanted);
         changes.forEach(out::println);
         out.println(changes.isEmpty() ? "No changes." : changes.size() + " changes.");
-        if (saveTo != null) {
-            write(Path.of(saveTo), JsonObject.write(Map.of("base", now.serial, "settings", wanted)));
+        if (saveTo.isPresent()) {
+            write(saveTo.get(), JsonObject.write(Map.of("base", now.serial, "settings", wanted)));
         }
         return changes.isEmpty() ? NO_CHANGES : CHANGES;
     }
@@ -104,8 +105,8 @@
     private SortedMap<String, String> wanted(Path file) throws IOException {
         try {
             SortedMap<String, String> settings = ChatConfigReader.read(Files.readString(file));
-            if (environment.containsKey("RELAY_CONFIG")) {
-                ChatConfigReader.check(settings, GatewayConfig.read(environment));
+            if (environment.containsKey(GatewayConfigReader.CONFIG_VARIABLE)) {
+                ChatConfigReader.check(settings, GatewayConfigReader.read(environment));
             }
             return settings;
         } catch (InvalidInputException e) {
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -227,13 +227,12 @@
             assertTrue(streaming.head());
             running.configure(next.address(), "{\"classes\":7}");
             running.signal("HUP");
-            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("not taken")));
+            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("event=configuration_rejected")));
             assertEquals(0, next.seen.size());
             running.configure(next.address(), Running.SETTINGS);
             running.signal("HUP");
             StandIn.until(() -> next.seen.size() == 1);
-            StandIn.until(() -> running.lines.stream()
-                    .anyMatch(line -> line.contains("was read again") && !line.contains("not taken")));
+            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("event=configuration_reloaded")));
             next.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
                     + Running.host(running.writers.get(0), "answer", "leaving") + ","
                     + Running.host(running.writers.get(1), "answer", "leaving") + "]}");
--- a/src/test/java/dunlinladder/it/Running.java
+++ b/src/test/java/dunlinladder/it/Running.java
@@ -103,8 +103,8 @@
                         config.toString()));
         process = builder.redirectErrorStream(true).start();
         BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream()));
-        port = portIn(log, " listens on ");
-        chatPort = state == null ? 0 : portIn(log, " speaks chat on ");
+        port = portIn(log, " front=platform ");
+        chatPort = state == null ? 0 : portIn(log, " front=chat ");
         Thread drain = new Thread(() -> log.lines().forEach(lines::add));
         drain.setDaemon(true);
         drain.start();
@@ -137,7 +137,7 @@
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             before.add(line);
             if (line.contains(mark)) {
-                return Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1));
+                return Integer.parseInt(line.substring(line.lastIndexOf("port=") + 5));
             }
         }
         throw new IOException("the program ended: " + before);
--- a/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -16,6 +16,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import net.jqwik.api.Arbitraries;
@@ -48,7 +49,7 @@
 
     private GatewayConfig read(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), text);
-        return GatewayConfig.read(Map.of("RELAY_CONFIG", file.toString()));
+        return GatewayConfigReader.read(Map.of("RELAY_CONFIG", file.toString()));
     }
 
     @Test
@@ -59,8 +60,8 @@
         GatewayConfig unzoned = read(FILE.replace("[\"a\",\"b\"]", "[]").replace("\"zone\":1", "\"zone\":0"));
         assertEquals(
                 0,
-                new EndpointListReader(unzoned.zones(), unzoned.kinds())
-                        .read(unzoned.known(), true)
+                new EndpointListReader(unzoned.names().zones(), unzoned.names().kinds())
+                        .read(unzoned.discovery().cachedList().orElseThrow(), true)
                         .engines()
                         .get(0)
                         .zone());
@@ -85,11 +86,13 @@
                 .replace("\"t\"", "\"a\"");
         GatewayConfig first = read(FILE);
         GatewayConfig second = read(renamed);
-        assertEquals(first.settings(), second.settings());
+        assertEquals(first.routing(), second.routing());
         assertEquals(
-                new EndpointListReader(first.zones(), first.kinds()).read(first.known(), true),
-                new EndpointListReader(second.zones(), second.kinds()).read(second.known(), true));
-        assertEquals(List.of("y y", "x"), second.classes());
+                new EndpointListReader(first.names().zones(), first.names().kinds())
+                        .read(first.discovery().cachedList().orElseThrow(), true),
+                new EndpointListReader(second.names().zones(), second.names().kinds())
+                        .read(second.discovery().cachedList().orElseThrow(), true));
+        assertEquals(List.of("y y", "x"), second.names().classes());
     }
 
     /** What is first gives way to what is second; the message names what is third. */
@@ -145,7 +148,8 @@
     void whatIsWrongIsNamed(String part, String instead, String named) throws IOException {
         assertTrue(FILE.contains(part), part);
         String text = FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead == null ? "" : instead));
-        InvalidInputException error = assertThrows(InvalidInputException.class, () -> new Gateway(read(text), null));
+        InvalidInputException error =
+                assertThrows(InvalidInputException.class, () -> new Gateway(read(text), Optional.empty()));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
@@ -197,10 +201,10 @@
                         .map(name -> "{\"name\":" + quoted(name) + "}")
                         .toList()
                 + ",\"family-info\":{\"role-by-kind\":" + roles + "}}}";
-        GatewayConfig config = GatewayConfig.read(JsonObject.parse(text), Map.of());
-        assertEquals(classes, config.classes());
-        assertEquals(tenants, config.tenants());
-        Gateway gateway = new Gateway(config, null);
+        GatewayConfig config = GatewayConfigReader.read(JsonObject.parse(text), Map.of());
+        assertEquals(classes, config.names().classes());
+        assertEquals(tenants, config.names().tenants());
+        Gateway gateway = new Gateway(config, Optional.empty());
         try (Socket client = new Socket()) {
             client.connect(new InetSocketAddress("127.0.0.1", gateway.start()));
             client.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/dunlinladder/lifecycle/PlanCommandsTest.java
+++ b/src/test/java/dunlinladder/lifecycle/PlanCommandsTest.java
@@ -12,6 +12,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -45,17 +46,17 @@
 
     @Test
     void planShowsAndApplyDoesJustThatOnce() throws Exception {
-        assertEquals(PlanCommands.CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.CHANGES, plans.plan(file, Optional.empty()));
         assertTrue(printed.toString().contains("+ models.find.class = lookup"));
         assertTrue(Files.notExists(state));
         plans.apply(file);
-        assertEquals(PlanCommands.NO_CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.NO_CHANGES, plans.plan(file, Optional.empty()));
         byte[] applied = Files.readAllBytes(state);
         plans.apply(file);
         assertArrayEquals(applied, Files.readAllBytes(state));
         Files.writeString(file, FILE.replace("300", "400").replace("CHAT_KEY", "NEW_KEY"));
         printed.reset();
-        assertEquals(PlanCommands.CHANGES, plans.plan(file, null));
+        assertEquals(PlanCommands.CHANGES, plans.plan(file, Optional.empty()));
         assertEquals(
                 "- keys.CHAT_KEY.tenant = acme\n+ keys.NEW_KEY.tenant = acme\n"
                         + "~ models.find.max_tokens = 300 -> 400\n3 changes.\n",
@@ -66,9 +67,9 @@
     void aSavedPlanIsRefusedOnceTheStateHasMovedOn() throws Exception {
         Path first = folder.resolve("first");
         Path second = folder.resolve("second");
-        plans.plan(file, first.toString());
+        plans.plan(file, Optional.of(first));
         Files.writeString(file, FILE.replace("300", "400"));
-        plans.plan(file, second.toString());
+        plans.plan(file, Optional.of(second));
         plans.apply(second);
         assertTrue(assertThrows(InvalidInputException.class, () -> plans.apply(first))
                 .getMessage()
@@ -119,10 +120,10 @@
                 .replace(part, instead);
         JsonObject json = JsonObject.parse(text.replace('\'', '"'));
         if (named.isEmpty()) {
-            assertEquals(10, GatewayConfig.read(json, Map.of()).limits().idleSeconds());
+            assertEquals(10, GatewayConfigReader.read(json, Map.of()).limits().idleSeconds());
         } else {
             InvalidInputException error =
-                    assertThrows(InvalidInputException.class, () -> GatewayConfig.read(json, Map.of()));
+                    assertThrows(InvalidInputException.class, () -> GatewayConfigReader.read(json, Map.of()));
             assertTrue(error.getMessage().contains(named), error.getMessage());
         }
     }
--- a/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
+++ b/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
@@ -20,7 +20,7 @@
 /** The JVM that the start script asks for follows the configuration. */
 class RunScriptTest {
 
-    private static final Pattern LISTENS = Pattern.compile("listens on .* port ([0-9]+)");
+    private static final Pattern LISTENS = Pattern.compile("event=listening .* front=platform .* port=([0-9]+)");
 
     @TempDir
     private Path folder;
