--- a/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -2,7 +2,7 @@
 
 import dunlinladder.apiformat.RequestTranslator;
 import dunlinladder.migration.Generation;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.chat.ChatSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
@@ -164,7 +164,7 @@
                         models,
                         deadlines,
                         config.settings().classes().stream()
-                                .map(c -> c.effect() == Router.Effect.UNSAFE)
+                                .map(c -> c.effect() == RoutingSettings.Effect.UNSAFE)
                                 .toList(),
                         generations,
                         MigrationConfigReader.move(flat, generations),
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -9,7 +9,7 @@
 import dunlinladder.migration.EngineEligibility;
 import dunlinladder.migration.Generation;
 import dunlinladder.routing.BlockingRequestRouter;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.chat.ChatExchange;
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.discovery.EndpointWatcher;
@@ -108,29 +108,31 @@
         timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
     }
 
-    private static Dispatcher.Policy policy(Router.Settings settings) {
+    private static Dispatcher.Policy policy(RoutingSettings settings) {
         return new Dispatcher.Policy() {
             @Override
             public boolean once(int serviceClass) {
-                return settings.classes().get(serviceClass).effect() == Router.Effect.UNSAFE;
+                return settings.classes().get(serviceClass).effect() == RoutingSettings.Effect.UNSAFE;
             }
 
             @Override
             public boolean readsOnly(int kind) {
                 return kind < settings.roleByKind().size()
-                        && settings.roleByKind().get(kind) == Router.Role.PREFILL;
+                        && settings.roleByKind().get(kind) == RoutingSettings.Role.PREFILL;
             }
         };
     }
 
     /** Which engines may have which of the chat front's requests; its standing is logged when it changes. */
     private EngineEligibility routing(Clock clock) {
-        List<Router.Role> roles = config.settings().roleByKind();
+        List<RoutingSettings.Role> roles = config.settings().roleByKind();
         EngineEligibility routing = new EngineEligibility(
                 operator.settings().engines(),
                 operator.settings().move(),
                 engines::listed,
-                engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED) {
+                engine -> switch (engine.kind() < roles.size()
+                        ? roles.get(engine.kind())
+                        : RoutingSettings.Role.MIXED) {
                     case PREFILL -> EngineEligibility.READS;
                     case DECODE -> EngineEligibility.WRITES;
                     case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
--- a/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
@@ -2,7 +2,7 @@
 
 import dunlinladder.core.Limits;
 import dunlinladder.membership.WatchTimeouts;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import dunlinladder.transport.simulator.SettingsReader;
@@ -23,7 +23,7 @@
         InetSocketAddress discovery,
         long seed,
         JsonObject known,
-        Router.Settings settings,
+        RoutingSettings settings,
         List<String> classes,
         List<Double> deadlines,
         List<String> tenants,
@@ -73,7 +73,7 @@
         int each = Math.min(1024, sockets - OWN_SOCKETS) / 2;
         double keepalive = positive(caps, "keepalive", 30);
         long bodies = Runtime.getRuntime().maxMemory() / 5;
-        Router.Settings router = SettingsReader.read(settings);
+        RoutingSettings router = SettingsReader.read(settings);
         List<String> unknown = SettingsReader.unknown(settings);
         if (!unknown.isEmpty()) {
             LOG.warn("fields that are not known are left aside: {}", String.join(", ", unknown));
@@ -135,7 +135,7 @@
      * What a state may wait covers hearing of it, choosing, sending and a margin: a quarter each. Where no state is
      * held, as if it were half a second.
      */
-    private static double lag(Router.Settings settings) {
+    private static double lag(RoutingSettings settings) {
         double most = settings.rules().releaseWithin();
         return (most > 0 ? most : 0.5) / 4;
     }
--- a/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
+++ b/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
@@ -46,7 +46,7 @@
     private final Consumer<String> releases;
     private final AdmissionQueue<Owed> intake;
     private final DoubleSupplier lag;
-    private final Router.Settings settings;
+    private final RoutingSettings settings;
     private int waited;
     private int givenUp;
     private double longestLag;
@@ -71,7 +71,7 @@
      * the seconds by which this process is behind; over {@code mostLag} requests wait.
      */
     public BlockingRequestRouter(
-            Router.Settings settings,
+            RoutingSettings settings,
             long seed,
             Clock clock,
             Consumer<String> releases,
@@ -98,7 +98,7 @@
                     owed.remove(request.id());
                     return instead;
                 }
-                tell(new Router.Arrival(new Router.Request(
+                tell(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
                         request.id(),
                         request.serviceClass(),
                         request.tenant(),
@@ -119,8 +119,15 @@
             RoutingDecision step = entry.gone ? new RoutingDecision.Discard() : entry.steps.poll();
             if (entry.gone && entry.steps.peek() instanceof RoutingDecision.Forward unsent) {
                 // Decided but never made: the module would count it as out at that engine for good.
-                tell(new Router.Outcome(
-                        request.id(), entry.sends - 1, unsent.engine(), Router.Status.NOT_SENT, 0, true, 0, Map.of()));
+                tell(new RoutingEvent.AttemptEnded(
+                        request.id(),
+                        entry.sends - 1,
+                        unsent.engine(),
+                        RoutingEvent.Status.NOT_SENT,
+                        0,
+                        true,
+                        0,
+                        Map.of()));
             }
             if (!(step instanceof RoutingDecision.Forward)) {
                 owed.remove(request.id());
@@ -178,7 +185,7 @@
     public void firstToken(Attempt attempt) {
         lock.lock();
         try {
-            tell(new Router.FirstToken(
+            tell(new RoutingEvent.FirstTokenReceived(
                     attempt.request().id(),
                     attempt.number(),
                     attempt.engine().id(),
@@ -195,7 +202,7 @@
             Owed entry = last
                     ? owed.remove(attempt.request().id())
                     : owed.get(attempt.request().id());
-            tell(new Router.Outcome(
+            tell(new RoutingEvent.AttemptEnded(
                     attempt.request().id(),
                     attempt.number(),
                     attempt.engine().id(),
@@ -218,7 +225,7 @@
                 entry.gone = true;
                 entry.ready.signal();
                 if (entry.in) {
-                    tell(new Router.ClientGone(id));
+                    tell(new RoutingEvent.ClientDisconnected(id));
                 }
             }
         } finally {
@@ -228,19 +235,19 @@
 
     @Override
     public void endpointsUpdated(Scope scope, List<Engine> engines) {
-        List<Router.Member> members = engines.stream()
-                .map(e -> new Router.Member(
+        List<RoutingEvent.Endpoint> members = engines.stream()
+                .map(e -> new RoutingEvent.Endpoint(
                         e.id(),
                         e.zone(),
                         e.kind(),
                         e.cell(),
-                        Router.Lifecycle.valueOf(e.state().name()),
+                        RoutingEvent.Lifecycle.valueOf(e.state().name()),
                         e.weight(),
                         e.startedAt()))
                 .toList();
         lock.lock();
         try {
-            tell(new Router.Members(Router.Scope.valueOf(scope.name()), members));
+            tell(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.valueOf(scope.name()), members));
         } finally {
             lock.unlock();
         }
@@ -255,7 +262,7 @@
             if (left > 0) {
                 timerSet.awaitNanos((long) Math.min(TICK_MOST, left * 1e9 + 1));
             } else {
-                tell(new Router.Timer(timers.poll().token));
+                tell(new RoutingEvent.TimerFired(timers.poll().token));
             }
         } finally {
             lock.unlock();
@@ -266,38 +273,38 @@
         return entry == null ? 0 : clock.now() - entry.sentAt;
     }
 
-    private static Router.Status status(Outcome.Ending ending) {
+    private static RoutingEvent.Status status(Outcome.Ending ending) {
         if (ending == Outcome.Ending.REJECTED) {
             // One client's bad request is no evidence against the engine that says so.
-            return Router.Status.CANCELLED;
+            return RoutingEvent.Status.CANCELLED;
         }
-        return Router.Status.valueOf(ending.name());
+        return RoutingEvent.Status.valueOf(ending.name());
     }
 
     /** Hands the module one event at the time of now and sorts what it wants done. */
-    private void tell(Router.Event event) {
-        List<Router.Action> actions;
+    private void tell(RoutingEvent event) {
+        List<RoutingAction> actions;
         try {
             actions = router.handle(clock.now(), event);
         } catch (RuntimeException e) {
             // Without this a fault in the module would leave its request without an answer.
             LOG.error("the decision module failed on {}", event, e);
-            actions = event instanceof Router.Arrival arrival
-                    ? List.of(new Router.Fail(arrival.request().id()))
-                    : event instanceof Router.Outcome ended && !ended.closed()
-                            ? List.of(new Router.Fail(ended.id()))
+            actions = event instanceof RoutingEvent.RequestArrived arrival
+                    ? List.of(new RoutingAction.Fail(arrival.request().id()))
+                    : event instanceof RoutingEvent.AttemptEnded ended && !ended.closed()
+                            ? List.of(new RoutingAction.Fail(ended.id()))
                             : List.of();
         }
-        for (Router.Action action : actions) {
-            if (action instanceof Router.Send send) {
-                step(send.id(), new RoutingDecision.Forward(send.worker(), send.timeout()));
-            } else if (action instanceof Router.Refuse refuse) {
+        for (RoutingAction action : actions) {
+            if (action instanceof RoutingAction.Forward send) {
+                step(send.id(), new RoutingDecision.Forward(send.engine(), send.timeout()));
+            } else if (action instanceof RoutingAction.Reject refuse) {
                 step(refuse.id(), new RoutingDecision.Reject(refuse.retryAfter()));
-            } else if (action instanceof Router.Fail fail) {
+            } else if (action instanceof RoutingAction.Fail fail) {
                 step(fail.id(), new RoutingDecision.Fail());
-            } else if (action instanceof Router.Release release) {
+            } else if (action instanceof RoutingAction.ReleaseCache release) {
                 releases.accept(release.id());
-            } else if (action instanceof Router.SetTimer timer) {
+            } else if (action instanceof RoutingAction.SetTimer timer) {
                 timers.add(new Due(clock.now() + timer.delay(), timer.token()));
                 timerSet.signal();
             }
--- a/src/main/java/dunlinladder/routing/EngineState.java
+++ b/src/main/java/dunlinladder/routing/EngineState.java
@@ -8,8 +8,8 @@
 /** What one router knows of one server. Plain state; {@link RoutingPolicy} decides on it. */
 final class EngineState {
     final String id;
-    Router.Member member;
-    Router.Role role;
+    RoutingEvent.Endpoint member;
+    RoutingSettings.Role role;
     /** Tokens that its memory holds by the settings; 0 where they do not say. */
     double memory;
     /** True while the list has it active; a server that drains or is gone gets nothing new. */
--- a/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
+++ b/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
@@ -40,7 +40,7 @@
     }
 
     /** Tokens of the prompt that the session's last turn had; its server must be known. */
-    double sessionTokens(Router.Request request) {
+    double sessionTokens(RoutingEvent.Request request) {
         return Math.min(sessions.get(request.session()).tokens, request.promptTokens());
     }
 
@@ -53,7 +53,7 @@
 
     /** Noted at the send, so that the next request of the same session or beginning follows it. */
     void note(Attempt attempt, double now) {
-        Router.Request request = attempt.job.request;
+        RoutingEvent.Request request = attempt.job.request;
         Turn last = sessions.get(request.session());
         attempt.sessionSent = last != null && last.worker == attempt.worker;
         attempt.prefixSent = prefixSent(request.prefix(), attempt.worker, now);
@@ -87,7 +87,7 @@
     }
 
     /** Part of a beginning, 0 to 1, that servers of a role were found to keep; 1 before any answer. */
-    double foundBy(Router.Role role) {
+    double foundBy(RoutingSettings.Role role) {
         return foundByRole[role.ordinal()];
     }
 
--- a/src/main/java/dunlinladder/routing/RequestState.java
+++ b/src/main/java/dunlinladder/routing/RequestState.java
@@ -13,8 +13,8 @@
     /** Seconds for which a client is asked to wait where next to nothing waits. */
     private static final double ADVICE_LEAST = 0.1;
 
-    final Router.Request request;
-    final Router.ServiceClass type;
+    final RoutingEvent.Request request;
+    final RoutingSettings.ServiceClass type;
     final double arrivedAt;
     int attempts;
     final Map<Integer, Attempt> out = new LinkedHashMap<>();
@@ -32,7 +32,7 @@
     double ranSentAt;
     final Set<EngineState> tried = new LinkedHashSet<>();
 
-    RequestState(Router.Request request, Router.ServiceClass type, double arrivedAt) {
+    RequestState(RoutingEvent.Request request, RoutingSettings.ServiceClass type, double arrivedAt) {
         this.request = request;
         this.type = type;
         this.arrivedAt = arrivedAt;
@@ -43,8 +43,8 @@
      * time for that begins anew, but not with a writer that could not be reached: on sockets it runs on while
      * connections fail to come up.
      */
-    boolean heldTooLong(Attempt attempt, Router.Status status, double now, double releaseWithin) {
-        boolean unreached = attempt.stage == Attempt.Stage.DECODE && status == Router.Status.CONNECT_FAILED;
+    boolean heldTooLong(Attempt attempt, RoutingEvent.Status status, double now, double releaseWithin) {
+        boolean unreached = attempt.stage == Attempt.Stage.DECODE && status == RoutingEvent.Status.CONNECT_FAILED;
         heldSince = unreached ? heldSince : now;
         return now - heldSince > releaseWithin * REACH_SHARE;
     }
@@ -54,7 +54,7 @@
      * spread so that those refused together do not come again together. {@code wait} is no number while nothing is
      * known of it, {@code chance} runs from 0 to 1.
      */
-    static double advice(double wait, Router.Settings settings, double chance) {
+    static double advice(double wait, RoutingSettings settings, double chance) {
         double expected = wait > ADVICE_LEAST ? wait : ADVICE_LEAST;
         return Math.min(settings.maxRetryAfter(), expected * (0.5 + chance));
     }
--- a/src/main/java/dunlinladder/routing/RoutingPolicy.java
+++ b/src/main/java/dunlinladder/routing/RoutingPolicy.java
@@ -1,8 +1,9 @@
 package dunlinladder.routing;
 
 import dunlinladder.routing.Attempt.Stage;
-import dunlinladder.routing.Router.Role;
-import dunlinladder.routing.Router.Status;
+import dunlinladder.routing.RoutingAction.*;
+import dunlinladder.routing.RoutingEvent.*;
+import dunlinladder.routing.RoutingSettings.*;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,7 +21,7 @@
 import java.util.stream.Stream;
 
 /**
- * All decisions of one router. Its interface (settings, events, actions) is in {@code Router.java}; what it
+ * All decisions of one router. Its interface is {@code Router} with its settings, events and actions; what it
  * remembers of servers, requests and attempts is in {@code EngineState}, {@code RequestState} and {@code Attempt}.
  *
  * <p>The sections follow a request's life: events, arrival, reader, writer, sending, outcomes, the end; then
@@ -163,7 +164,7 @@
     /** How many times longer rates are counted where a router sees next to nothing; some twenty answers. */
     private static final double RATE_STRETCH = 5;
 
-    private final Settings settings;
+    private final RoutingSettings settings;
     /** Part of the fleet's load that own counts cannot show: 0 with few routers, towards 1 with many. */
     private final double blind;
     private final Random random;
@@ -174,7 +175,7 @@
     private final DecayingFrequency beginnings = new DecayingFrequency(BEGINNINGS_MOST, BEGINNINGS_PRIOR);
     private final TenantTokenBuckets quotas;
     private final StreamDurationStats paces = new StreamDurationStats(SMOOTH_SLOW, PACE_SMOOTH, SAMPLE_FADE);
-    private List<Action> actions = new ArrayList<>();
+    private List<RoutingAction> actions = new ArrayList<>();
     private double now;
     private double comparedAt = Double.NaN;
     private boolean sweeping;
@@ -200,7 +201,7 @@
     private int followFailures;
 
     /** Creates a router's decisions; {@code seed} feeds its random numbers. */
-    public RoutingPolicy(Settings settings, long seed) {
+    public RoutingPolicy(RoutingSettings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
         blind = Math.max(0, 1 - FULL_SIGHT / settings.balancers());
@@ -212,20 +213,20 @@
     // ---- Events ----
 
     @Override
-    public List<Action> handle(double clock, Event event) {
+    public List<RoutingAction> handle(double clock, RoutingEvent event) {
         actions = new ArrayList<>();
         now = clock;
-        if (event instanceof Members e) {
+        if (event instanceof EndpointsChanged e) {
             onMembers(e);
-        } else if (event instanceof Arrival e) {
+        } else if (event instanceof RequestArrived e) {
             onArrival(e.request());
-        } else if (event instanceof FirstToken e) {
+        } else if (event instanceof FirstTokenReceived e) {
             onFirstToken(e);
-        } else if (event instanceof Outcome e) {
+        } else if (event instanceof AttemptEnded e) {
             onOutcome(e);
-        } else if (event instanceof ClientGone e && jobs.containsKey(e.id())) {
+        } else if (event instanceof ClientDisconnected e && jobs.containsKey(e.id())) {
             end(jobs.get(e.id()));
-        } else if (event instanceof Timer e) {
+        } else if (event instanceof TimerFired e) {
             onTimer(e.token());
         }
         if (!waiting.isEmpty() && !sweeping) {
@@ -237,7 +238,7 @@
 
     private void onTimer(long token) {
         if (token != 0) {
-            actions.add(new Follow());
+            actions.add(new WatchEndpoints());
             return;
         }
         sweeping = false;
@@ -495,7 +496,7 @@
     }
 
     /** What was found kept corrects what is believed of the server and what the read should have taken. */
-    private void learnKept(Attempt attempt, Outcome event) {
+    private void learnKept(Attempt attempt, AttemptEnded event) {
         boolean read = event.status() == Status.PREFILLED;
         if (!read && (event.status() != Status.OK || attempt.stage != Stage.PREFILL_AND_DECODE)) {
             return;
@@ -543,7 +544,7 @@
         if (writers.isEmpty()) {
             writers = usable(job, w -> w.role == Role.MIXED);
         }
-        Router.Member home = job.holder.member;
+        RoutingEvent.Endpoint home = job.holder.member;
         EngineState drawn = random.nextDouble() < blind ? drawWriter(home, writers) : null;
         if (drawn != null) {
             return drawn;
@@ -560,7 +561,7 @@
      * writers to spare, of the zone first. Guards against cells with many readers and few writers. Can harm
      * when the zones' traffic is far from even.
      */
-    private EngineState drawWriter(Router.Member home, List<EngineState> writers) {
+    private EngineState drawWriter(RoutingEvent.Endpoint home, List<EngineState> writers) {
         double reads = readPart.getOrDefault(home.cell(), 0.0);
         double writes = writePart.getOrDefault(home.cell(), 0.0);
         if (random.nextDouble() * reads <= writes) {
@@ -619,7 +620,7 @@
     /** Servers that a request may go to: open, healthy or due a trial, within a cold server's budget. */
     private List<EngineState> usable(RequestState job, Predicate<EngineState> role) {
         List<EngineState> open = workers.values().stream().filter(w -> w.open && now >= w.fullUntil && role.test(w)
-                && job.request.fits().test(w.id) && repeatAllowed(job, w) && coldBudgetLeft(w)).toList();
+                && job.request.eligible().test(w.id) && repeatAllowed(job, w) && coldBudgetLeft(w)).toList();
         List<EngineState> fit = open.stream().filter(w -> !suspect(w)
                 || w.pending.isEmpty() && now >= trialAt(job, w)).toList();
         List<EngineState> reached = open.stream().filter(w -> w.unreachedInRow < SUSPECT_FAILURES
@@ -693,7 +694,7 @@
         w.pending.add(attempt);
         w.credit -= 1;
         comparedAt = Double.NaN;
-        actions.add(new Send(job.request.id(), w.id, timeout));
+        actions.add(new Forward(job.request.id(), w.id, timeout));
     }
 
     /** How much longer than usual a read should take: its own tokens and those ahead of it. */
@@ -721,7 +722,7 @@
         return jobs.containsKey(id) ? jobs.get(id).out.get(number) : null;
     }
 
-    private void onFirstToken(FirstToken event) {
+    private void onFirstToken(FirstTokenReceived event) {
         Attempt attempt = find(event.id(), event.attempt());
         if (attempt == null || !Double.isNaN(attempt.firstAt)) {
             return;
@@ -735,7 +736,7 @@
         succeeded(w, event.elapsed() / attempt.size);
     }
 
-    private void onOutcome(Outcome event) {
+    private void onOutcome(AttemptEnded event) {
         Attempt attempt = find(event.id(), event.attempt());
         if (attempt == null) {
             return;
@@ -765,7 +766,7 @@
     }
 
     /** What an outcome says of the server. */
-    private void judge(Attempt attempt, Outcome event) {
+    private void judge(Attempt attempt, AttemptEnded event) {
         EngineState w = attempt.worker;
         w.unreachedInRow = event.status() == Status.CONNECT_FAILED ? w.unreachedInRow + 1 : 0;
         switch (event.status()) {
@@ -789,7 +790,7 @@
     }
 
     /** The next step of a request that is still owed its answer. */
-    private void goOn(Attempt attempt, Outcome event) {
+    private void goOn(Attempt attempt, AttemptEnded event) {
         RequestState job = attempt.job;
         boolean late = job.heldTooLong(attempt, event.status(), now, settings.rules().releaseWithin());
         boolean gone = event.status() == Status.FULL && event.note() == 1;
@@ -815,7 +816,7 @@
         boolean harmless = job.ranAt == null || job.type.effect() == Effect.SAFE
                 || job.type.effect() == Effect.KEYED && job.type.group() == Group.ALL;
         double backoff = settings.retryAfter() ? RequestState.advice(backlogWait(), settings, random.nextDouble()) : 0;
-        actions.add(harmless ? new Refuse(job.request.id(), backoff) : new Fail(job.request.id()));
+        actions.add(harmless ? new Reject(job.request.id(), backoff) : new Fail(job.request.id()));
         end(job);
     }
 
@@ -824,7 +825,7 @@
         if (job.mayHold) {
             job.mayHold = false;
             job.holder = null;
-            actions.add(new Release(job.request.id()));
+            actions.add(new ReleaseCache(job.request.id()));
         }
     }
 
@@ -995,22 +996,22 @@
 
     // ---- The list of servers ----
 
-    private void onMembers(Members event) {
+    private void onMembers(EndpointsChanged event) {
         if (event.scope() == Scope.FAILED) {
             double wait = TRIAL_WAIT * (1 << Math.min(++followFailures, TRIAL_DOUBLINGS));
             actions.add(new SetTimer(1, wait));
             return;
         }
         if (event.scope() == Scope.CACHED && settings.listOnRequest()) {
-            actions.add(new Follow());
+            actions.add(new WatchEndpoints());
         } else {
             followFailures = 0;
         }
         if (event.scope() != Scope.CHANGES) {
             workers.values().forEach(w -> w.open = false);
         }
-        for (Member member : event.members()) {
-            EngineState w = workers.computeIfAbsent(member.worker(), EngineState::new);
+        for (Endpoint member : event.endpoints()) {
+            EngineState w = workers.computeIfAbsent(member.engine(), EngineState::new);
             if (w.member != null && member.startedAt() > w.member.startedAt()) {
                 w.forget();
             }
@@ -1024,7 +1025,7 @@
             w.open = member.lifecycle() == Lifecycle.ACTIVE;
         }
         if (event.scope() != Scope.CHANGES) {
-            Set<String> named = event.members().stream().map(Member::worker).collect(Collectors.toSet());
+            Set<String> named = event.endpoints().stream().map(Endpoint::engine).collect(Collectors.toSet());
             forget(w -> !named.contains(w.id));
         }
         forget(w -> w.member.lifecycle() == Lifecycle.LEFT);
--- a/src/main/java/dunlinladder/routing/StreamDurationStats.java
+++ b/src/main/java/dunlinladder/routing/StreamDurationStats.java
@@ -33,14 +33,14 @@
     }
 
     /** Takes in a stream that ended well; {@code counts} is false where a router sees too few. */
-    void learn(Attempt attempt, Router.Status status, double now, boolean counts) {
-        if (!counts || status != Router.Status.OK || Double.isNaN(attempt.firstAt)) {
+    void learn(Attempt attempt, RoutingEvent.Status status, double now, boolean counts) {
+        if (!counts || status != RoutingEvent.Status.OK || Double.isNaN(attempt.firstAt)) {
             return;
         }
         double lasted = now - attempt.firstAt;
         EngineState w = attempt.worker;
         int type = attempt.job.request.serviceClass();
-        if (w.role == Router.Role.DECODE) {
+        if (w.role == RoutingSettings.Role.DECODE) {
             usual.merge(type, lasted, (mean, last) -> mean + (last - mean) * smoothUsual);
         }
         Double mean = usual.get(type);
--- a/src/main/java/dunlinladder/routing/ThroughputMeter.java
+++ b/src/main/java/dunlinladder/routing/ThroughputMeter.java
@@ -11,9 +11,9 @@
     private final double window;
     private final double peakFade;
     private final boolean byTimeSeen;
-    private final double[] rate = new double[Router.Role.values().length];
-    private final double[] at = new double[Router.Role.values().length];
-    private final double[] peak = new double[Router.Role.values().length];
+    private final double[] rate = new double[RoutingSettings.Role.values().length];
+    private final double[] at = new double[RoutingSettings.Role.values().length];
+    private final double[] peak = new double[RoutingSettings.Role.values().length];
     private double firstAt = Double.POSITIVE_INFINITY;
 
     /**
@@ -32,7 +32,7 @@
     }
 
     /** Counts one answer. */
-    void count(Router.Role role, double now) {
+    void count(RoutingSettings.Role role, double now) {
         int r = role.ordinal();
         firstAt = Math.min(firstAt, now);
         rate[r] = rate[r] * Math.exp((at[r] - now) / window) + 1 / window;
@@ -42,7 +42,7 @@
     }
 
     /** Answers a second at the most, of late. */
-    double peak(Router.Role role) {
+    double peak(RoutingSettings.Role role) {
         return peak[role.ordinal()];
     }
 
--- a/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
@@ -1,6 +1,6 @@
 package dunlinladder.transport.simulator;
 
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
@@ -88,12 +88,18 @@
     private SettingsReader() {}
 
     /** Reads and checks the settings. */
-    public static Router.Settings read(JsonObject info) {
+    public static RoutingSettings read(JsonObject info) {
         JsonObject caps = info.childOrEmpty("caps");
         JsonObject family = info.childOrEmpty("family-info");
-        List<Router.Role> roles = family.choices(
+        List<RoutingSettings.Role> roles = family.choices(
                 "role-by-kind",
-                Map.of("read", Router.Role.PREFILL, "write", Router.Role.DECODE, "both", Router.Role.MIXED));
+                Map.of(
+                        "read",
+                        RoutingSettings.Role.PREFILL,
+                        "write",
+                        RoutingSettings.Role.DECODE,
+                        "both",
+                        RoutingSettings.Role.MIXED));
         // The simulator's drills name neither kinds nor zones; a gateway cannot read its list without.
         if (info.has("kinds") && roles.size() != info.names("kinds").size()) {
             throw new InvalidInputException(family.where() + ".role-by-kind has " + roles.size() + " entries for "
@@ -102,7 +108,7 @@
         int zones = info.has("zones") ? Math.max(1, zones(info).size()) : MANY;
         int balancers = info.whole("balancers", 1, 1, MANY);
         info.whole("me", 0, 0, balancers - 1);
-        return new Router.Settings(
+        return new RoutingSettings(
                 balancers,
                 info.whole("zone", 0, 0, zones - 1),
                 classes(info, family),
@@ -146,24 +152,36 @@
                 .toList();
     }
 
-    private static List<Router.ServiceClass> classes(JsonObject info, JsonObject family) {
+    private static List<RoutingSettings.ServiceClass> classes(JsonObject info, JsonObject family) {
         List<JsonObject> entries = info.children("classes");
         List<Double> perKilotoken = figures(family, "aim-us-per-1000-prompt-tokens", entries.size());
         List<Double> tokenAims = figures(family, "token-aim", entries.size());
-        List<Router.ServiceClass> classes = new ArrayList<>();
+        List<RoutingSettings.ServiceClass> classes = new ArrayList<>();
         for (JsonObject entry : entries) {
             int index = classes.size();
             // Where nothing is said of repeats, none is safe.
-            Router.Effect effect = entry.choice(
+            RoutingSettings.Effect effect = entry.choice(
                     "semantics",
-                    Router.Effect.UNSAFE,
-                    Map.of("safe", Router.Effect.SAFE, "keyed", Router.Effect.KEYED, "unsafe", Router.Effect.UNSAFE));
-            Router.Group group = entry.choice(
+                    RoutingSettings.Effect.UNSAFE,
+                    Map.of(
+                            "safe",
+                            RoutingSettings.Effect.SAFE,
+                            "keyed",
+                            RoutingSettings.Effect.KEYED,
+                            "unsafe",
+                            RoutingSettings.Effect.UNSAFE));
+            RoutingSettings.Group group = entry.choice(
                     "group",
-                    Router.Group.CELL,
-                    Map.of("all", Router.Group.ALL, "zone", Router.Group.ZONE, "cell", Router.Group.CELL));
+                    RoutingSettings.Group.CELL,
+                    Map.of(
+                            "all",
+                            RoutingSettings.Group.ALL,
+                            "zone",
+                            RoutingSettings.Group.ZONE,
+                            "cell",
+                            RoutingSettings.Group.CELL));
             entry.number("objective");
-            classes.add(new Router.ServiceClass(
+            classes.add(new RoutingSettings.ServiceClass(
                     entry.number("objective", 0, Double.MIN_VALUE, MOST),
                     at(perKilotoken, index) * 1e-6,
                     entry.number("aim-stretch", 0, 0, MOST),
@@ -191,8 +209,8 @@
         return index < list.size() ? list.get(index) : 0;
     }
 
-    private static Router.Rules rules(JsonObject rules, JsonObject family) {
-        return new Router.Rules(
+    private static RoutingSettings.Rules rules(JsonObject rules, JsonObject family) {
+        return new RoutingSettings.Rules(
                 rules.number("answer-slack", 0, 0, MOST),
                 rules.number("stop-sending-within", 0, 0, MOST),
                 rules.number("fall-multiple", 1, 0, MOST),
--- a/src/main/java/dunlinladder/transport/simulator/SimulatorCodec.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorCodec.java
@@ -1,7 +1,8 @@
 package dunlinladder.transport.simulator;
 
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingAction;
+import dunlinladder.routing.RoutingEvent;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
@@ -15,37 +16,37 @@
     private SimulatorCodec() {}
 
     /** Translates an event; null for one that the module has no use for. */
-    static Router.Event event(String name, JsonObject body) {
+    static RoutingEvent event(String name, JsonObject body) {
         return switch (name) {
             case "Membership" -> members(body);
-            case "JobIn" -> new Router.Arrival(request(body));
+            case "JobIn" -> new RoutingEvent.RequestArrived(request(body));
             case "FirstByte" ->
-                new Router.FirstToken(
+                new RoutingEvent.FirstTokenReceived(
                         body.text("id"), (int) body.integer("go"), body.text("worker"), body.number("cost-time"));
             case "Returned" -> outcome(body);
-            case "TimedOutClient" -> new Router.ClientGone(body.text("id"));
-            case "Reminder" -> new Router.Timer(body.integer("cookie"));
+            case "TimedOutClient" -> new RoutingEvent.ClientDisconnected(body.text("id"));
+            case "Reminder" -> new RoutingEvent.TimerFired(body.integer("cookie"));
             default -> null;
         };
     }
 
-    private static Router.Members members(JsonObject body) {
-        Router.Scope scope = switch (body.text("scope")) {
-            case "D" -> Router.Scope.CHANGES;
-            case "F" -> Router.Scope.COMPLETE;
-            case "C" -> Router.Scope.CACHED;
-            case "X" -> Router.Scope.FAILED;
+    private static RoutingEvent.EndpointsChanged members(JsonObject body) {
+        RoutingEvent.Scope scope = switch (body.text("scope")) {
+            case "D" -> RoutingEvent.Scope.CHANGES;
+            case "F" -> RoutingEvent.Scope.COMPLETE;
+            case "C" -> RoutingEvent.Scope.CACHED;
+            case "X" -> RoutingEvent.Scope.FAILED;
             default -> throw new InvalidInputException("unknown scope " + body.text("scope") + " in Membership");
         };
-        List<Router.Member> members = new ArrayList<>();
+        List<RoutingEvent.Endpoint> members = new ArrayList<>();
         if (body.has("nodes-list")) {
             for (JsonObject entry : body.children("nodes-list")) {
-                Router.Lifecycle lifecycle = switch (entry.text("lifecycle", "active")) {
-                    case "active" -> Router.Lifecycle.ACTIVE;
-                    case "leaving" -> Router.Lifecycle.LEAVING;
-                    default -> Router.Lifecycle.LEFT;
+                RoutingEvent.Lifecycle lifecycle = switch (entry.text("lifecycle", "active")) {
+                    case "active" -> RoutingEvent.Lifecycle.ACTIVE;
+                    case "leaving" -> RoutingEvent.Lifecycle.LEAVING;
+                    default -> RoutingEvent.Lifecycle.LEFT;
                 };
-                members.add(new Router.Member(
+                members.add(new RoutingEvent.Endpoint(
                         entry.text("worker"),
                         (int) entry.integer("locality", 0),
                         (int) entry.integer("kind", 0),
@@ -55,11 +56,11 @@
                         entry.number("last-start", 0)));
             }
         }
-        return new Router.Members(scope, members);
+        return new RoutingEvent.EndpointsChanged(scope, members);
     }
 
-    private static Router.Request request(JsonObject body) {
-        return new Router.Request(
+    private static RoutingEvent.Request request(JsonObject body) {
+        return new RoutingEvent.Request(
                 body.text("id"),
                 (int) body.integer("tier-class", 0),
                 (int) body.integer("customer", 0),
@@ -74,7 +75,7 @@
                 body.flag("returned"));
     }
 
-    private static Router.Outcome outcome(JsonObject body) {
+    private static RoutingEvent.AttemptEnded outcome(JsonObject body) {
         Map<String, Double> report = new LinkedHashMap<>();
         if (body.has("server-stats")) {
             JsonObject stats = body.child("server-stats");
@@ -82,7 +83,7 @@
                 report.put(name, stats.number(name, 0));
             }
         }
-        return new Router.Outcome(
+        return new RoutingEvent.AttemptEnded(
                 body.text("id"),
                 (int) body.integer("go"),
                 body.text("worker"),
@@ -93,45 +94,45 @@
                 report);
     }
 
-    private static Router.Status status(int code) {
+    private static RoutingEvent.Status status(int code) {
         return switch (code) {
-            case 100 -> Router.Status.OK;
-            case 210 -> Router.Status.PREFILLED;
-            case 301 -> Router.Status.ERROR;
-            case 302 -> Router.Status.FULL;
-            case 303 -> Router.Status.TIMEOUT;
-            case 304 -> Router.Status.CONNECT_FAILED;
-            case 305 -> Router.Status.RESET;
-            case 306 -> Router.Status.CANCELLED;
-            case 307 -> Router.Status.NOT_SENT;
+            case 100 -> RoutingEvent.Status.OK;
+            case 210 -> RoutingEvent.Status.PREFILLED;
+            case 301 -> RoutingEvent.Status.ERROR;
+            case 302 -> RoutingEvent.Status.FULL;
+            case 303 -> RoutingEvent.Status.TIMEOUT;
+            case 304 -> RoutingEvent.Status.CONNECT_FAILED;
+            case 305 -> RoutingEvent.Status.RESET;
+            case 306 -> RoutingEvent.Status.CANCELLED;
+            case 307 -> RoutingEvent.Status.NOT_SENT;
             default -> throw new InvalidInputException("unknown outcome " + code + " in Returned");
         };
     }
 
     /** Appends the line of one action. */
-    static void action(StringBuilder line, long instance, Router.Action action) {
-        if (action instanceof Router.Send a) {
+    static void action(StringBuilder line, long instance, RoutingAction action) {
+        if (action instanceof RoutingAction.Forward a) {
             open(line, "Try", instance);
             text(line, "id", a.id());
-            text(line, "worker", a.worker());
+            text(line, "worker", a.engine());
             line.append(",\"try-for\":").append(a.timeout());
-        } else if (action instanceof Router.Refuse a) {
+        } else if (action instanceof RoutingAction.Reject a) {
             open(line, "Reject", instance);
             text(line, "id", a.id());
             line.append(",\"backoff\":").append(a.retryAfter());
-        } else if (action instanceof Router.Fail a) {
+        } else if (action instanceof RoutingAction.Fail a) {
             open(line, "Lose", instance);
             text(line, "id", a.id());
-        } else if (action instanceof Router.Release a) {
+        } else if (action instanceof RoutingAction.ReleaseCache a) {
             open(line, "DropState", instance);
             text(line, "id", a.id());
-        } else if (action instanceof Router.SetTimer a) {
+        } else if (action instanceof RoutingAction.SetTimer a) {
             open(line, "Arm", instance);
             line.append(",\"cookie\":")
                     .append(a.token())
                     .append(",\"sleep-for\":")
                     .append(a.delay());
-        } else if (action instanceof Router.Follow) {
+        } else if (action instanceof RoutingAction.WatchEndpoints) {
             open(line, "Follow", instance);
             line.append(",\"want\":true");
         }
--- a/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
@@ -1,7 +1,10 @@
 package dunlinladder.transport.simulator;
 
 import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingAction;
+import dunlinladder.routing.RoutingEvent;
 import dunlinladder.routing.RoutingPolicy;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import java.io.BufferedReader;
@@ -94,7 +97,7 @@
             case "OpenInstance" -> open(instance, body);
             case "Detach" -> instances.remove(instance);
             default -> {
-                Router.Event event = SimulatorCodec.event(message.name, body);
+                RoutingEvent event = SimulatorCodec.event(message.name, body);
                 Router router = instances.get(instance);
                 if (event != null && router != null) {
                     decide(instance, router, now, event);
@@ -105,13 +108,13 @@
 
     private void open(long instance, JsonObject body) {
         long seed = body.integer("salt");
-        Router.Settings settings =
+        RoutingSettings settings =
                 SettingsReader.read(new JsonObject("info", body.child("info").fields()));
         instances.put(instance, new RoutingPolicy(settings, seed));
     }
 
-    private void decide(long instance, Router router, double now, Router.Event event) {
-        List<Router.Action> actions;
+    private void decide(long instance, Router router, double now, RoutingEvent event) {
+        List<RoutingAction> actions;
         try {
             actions = router.handle(now, event);
         } catch (RuntimeException e) {
@@ -119,7 +122,7 @@
             SimulatorCodec.bailOut(reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
-        for (Router.Action action : actions) {
+        for (RoutingAction action : actions) {
             SimulatorCodec.action(reply, instance, action);
         }
     }
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -1,10 +1,10 @@
 package dunlinladder.routing;
 
-import dunlinladder.routing.Router.Effect;
-import dunlinladder.routing.Router.Group;
-import dunlinladder.routing.Router.Lifecycle;
-import dunlinladder.routing.Router.Role;
-import dunlinladder.routing.Router.Status;
+import dunlinladder.routing.RoutingEvent.Lifecycle;
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,23 +15,23 @@
 /** Hand-made events for one router: a list of servers, a clock, and what the module asked for. */
 final class Fleet {
 
-    final List<Router.Action> all = new ArrayList<>();
-    final List<Router.Send> sent = new ArrayList<>();
-    Router.Settings settings = settings(Effect.SAFE, Group.ALL);
-    private final Map<String, Router.Member> members = new LinkedHashMap<>();
+    final List<RoutingAction> all = new ArrayList<>();
+    final List<RoutingAction.Forward> sent = new ArrayList<>();
+    RoutingSettings settings = settings(Effect.SAFE, Group.ALL);
+    private final Map<String, RoutingEvent.Endpoint> members = new LinkedHashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final Map<String, Router.Send> latest = new LinkedHashMap<>();
+    private final Map<String, RoutingAction.Forward> latest = new LinkedHashMap<>();
     private final Map<String, Double> sentAt = new HashMap<>();
     private final Map<String, Double> finalAt = new HashMap<>();
     private final List<double[]> timers = new ArrayList<>();
     private Router router = new RoutingPolicy(settings, 1);
     private double now = 100;
 
-    static Router.Settings settings(Effect effect, Group group) {
-        return new Router.Settings(
+    static RoutingSettings settings(Effect effect, Group group) {
+        return new RoutingSettings(
                 2,
                 0,
-                List.of(new Router.ServiceClass(1, 0.05, 0, 0.05, effect, group, 5, 1, 0.1)),
+                List.of(new RoutingSettings.ServiceClass(1, 0.05, 0, 0.05, effect, group, 5, 1, 0.1)),
                 List.of(100.0),
                 List.of(Role.PREFILL, Role.DECODE, Role.MIXED),
                 List.of(2e5, 2e5, 2e5),
@@ -40,7 +40,7 @@
                 false,
                 1,
                 false,
-                new Router.Rules(0.02, 0.25, 2.5, 2, 12, 0.3, 0.5));
+                new RoutingSettings.Rules(0.02, 0.25, 2.5, 2, 12, 0.3, 0.5));
     }
 
     Fleet type(Effect effect, Group group) {
@@ -59,8 +59,8 @@
     }
 
     private Fleet among(int balancers, boolean retryAfter) {
-        Router.Settings s = settings;
-        settings = new Router.Settings(
+        RoutingSettings s = settings;
+        settings = new RoutingSettings(
                 balancers,
                 s.zone(),
                 s.classes(),
@@ -83,13 +83,13 @@
 
     /** A request whose first 800 tokens are shared with others. */
     void shared(String id, long prefix) {
-        handle(new Router.Arrival(
-                new Router.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(
+                new RoutingEvent.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800, 100, false, false)));
     }
 
     /** A request of 200 tokens behind a beginning of so many. */
     void opening(String id, long prefix, double tokens) {
-        handle(new Router.Arrival(new Router.Request(
+        handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
                 id, 0, 0, id.hashCode(), now + 5, 0, prefix, tokens + 200, tokens, 100, false, false)));
         sentAt.putIfAbsent(id, now);
     }
@@ -98,8 +98,8 @@
     void drainAttempts() {
         for (String id : List.copyOf(latest.keySet())) {
             for (int attempt = 0; attempt < attempts.get(id); attempt++) {
-                handle(new Router.Outcome(
-                        id, attempt, latest.get(id).worker(), Status.TIMEOUT, 4.9, true, 0, Map.of()));
+                handle(new RoutingEvent.AttemptEnded(
+                        id, attempt, latest.get(id).engine(), Status.TIMEOUT, 4.9, true, 0, Map.of()));
             }
         }
     }
@@ -111,23 +111,23 @@
     }
 
     Fleet with(String id, int cell, Role role) {
-        members.put(id, new Router.Member(id, 0, role.ordinal(), cell, Lifecycle.ACTIVE, 1, 0));
+        members.put(id, new RoutingEvent.Endpoint(id, 0, role.ordinal(), cell, Lifecycle.ACTIVE, 1, 0));
         return this;
     }
 
     Fleet listed() {
-        handle(new Router.Members(Router.Scope.COMPLETE, List.copyOf(members.values())));
+        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.COMPLETE, List.copyOf(members.values())));
         return this;
     }
 
     Fleet drain(String id) {
-        Router.Member m = members.get(id);
-        return change(new Router.Member(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEAVING, 1, m.startedAt()));
+        RoutingEvent.Endpoint m = members.get(id);
+        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEAVING, 1, m.startedAt()));
     }
 
     Fleet leave(String id) {
-        Router.Member m = members.get(id);
-        return change(new Router.Member(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEFT, 1, m.startedAt()));
+        RoutingEvent.Endpoint m = members.get(id);
+        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEFT, 1, m.startedAt()));
     }
 
     Fleet without(String id) {
@@ -152,13 +152,13 @@
     }
 
     Fleet restart(String id) {
-        Router.Member m = members.get(id);
-        return change(new Router.Member(id, m.zone(), m.kind(), m.cell(), Lifecycle.ACTIVE, 1, now));
+        RoutingEvent.Endpoint m = members.get(id);
+        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.ACTIVE, 1, now));
     }
 
-    private Fleet change(Router.Member member) {
-        members.put(member.worker(), member);
-        handle(new Router.Members(Router.Scope.CHANGES, List.of(member)));
+    private Fleet change(RoutingEvent.Endpoint member) {
+        members.put(member.engine(), member);
+        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(member)));
         return this;
     }
 
@@ -166,19 +166,19 @@
         return members.get(worker).cell();
     }
 
-    void handle(Router.Event event) {
-        for (Router.Action action : router.handle(now, event)) {
+    void handle(RoutingEvent event) {
+        for (RoutingAction action : router.handle(now, event)) {
             all.add(action);
-            if (action instanceof Router.Send send) {
+            if (action instanceof RoutingAction.Forward send) {
                 sent.add(send);
                 latest.put(send.id(), send);
                 sentAt.put(send.id(), now);
                 attempts.merge(send.id(), 1, Integer::sum);
-            } else if (action instanceof Router.SetTimer timer) {
+            } else if (action instanceof RoutingAction.SetTimer timer) {
                 timers.add(new double[] {now + timer.delay(), timer.token()});
-            } else if (action instanceof Router.Refuse refuse) {
+            } else if (action instanceof RoutingAction.Reject refuse) {
                 finalAt.put(refuse.id(), now);
-            } else if (action instanceof Router.Fail fail) {
+            } else if (action instanceof RoutingAction.Fail fail) {
                 finalAt.put(fail.id(), now);
             }
         }
@@ -195,36 +195,38 @@
             }
             timers.remove(next);
             now = next[0];
-            handle(new Router.Timer((long) next[1]));
+            handle(new RoutingEvent.TimerFired((long) next[1]));
         }
         now = until;
     }
 
     void request(String id, long session) {
-        handle(new Router.Arrival(new Router.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(
+                new RoutingEvent.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false)));
         sentAt.putIfAbsent(id, now);
     }
 
-    Router.Send arrive(String id) {
+    RoutingAction.Forward arrive(String id) {
         return arrive(id, id.hashCode());
     }
 
-    Router.Send arrive(String id, long session) {
+    RoutingAction.Forward arrive(String id, long session) {
         request(id, session);
         return latest.get(id);
     }
 
     /** Where a request was sent last. */
     String worker(String id) {
-        return latest.get(id).worker();
+        return latest.get(id).engine();
     }
 
-    Router.Send lastSend() {
+    RoutingAction.Forward lastSend() {
         return sent.get(sent.size() - 1);
     }
 
     void first(String id) {
-        handle(new Router.FirstToken(id, attempts.get(id) - 1, latest.get(id).worker(), now - sentAt.get(id)));
+        handle(new RoutingEvent.FirstTokenReceived(
+                id, attempts.get(id) - 1, latest.get(id).engine(), now - sentAt.get(id)));
     }
 
     void outcome(String id, Status status) {
@@ -232,10 +234,10 @@
     }
 
     void outcome(String id, Status status, double note, boolean closed) {
-        handle(new Router.Outcome(
+        handle(new RoutingEvent.AttemptEnded(
                 id,
                 attempts.get(id) - 1,
-                latest.get(id).worker(),
+                latest.get(id).engine(),
                 status,
                 now - sentAt.get(id),
                 closed,
@@ -245,8 +247,8 @@
 
     /** Ends an attempt for good with a load report. */
     void reported(String id, Status status, Map<String, Double> report) {
-        handle(new Router.Outcome(
-                id, attempts.get(id) - 1, latest.get(id).worker(), status, now - sentAt.get(id), true, 0, report));
+        handle(new RoutingEvent.AttemptEnded(
+                id, attempts.get(id) - 1, latest.get(id).engine(), status, now - sentAt.get(id), true, 0, report));
     }
 
     /** Plays a request to its good end. */
@@ -257,7 +259,7 @@
     }
 
     void gone(String id) {
-        handle(new Router.ClientGone(id));
+        handle(new RoutingEvent.ClientDisconnected(id));
     }
 
     int sends() {
@@ -269,26 +271,26 @@
         return from
                 + (int) sent.stream()
                         .skip(from)
-                        .filter(send -> members.get(send.worker()).kind() != Role.PREFILL.ordinal())
+                        .filter(send -> members.get(send.engine()).kind() != Role.PREFILL.ordinal())
                         .count();
     }
 
     long finals(String id) {
         return fails(id)
                 + all.stream()
-                        .filter(a -> a instanceof Router.Refuse r && r.id().equals(id))
+                        .filter(a -> a instanceof RoutingAction.Reject r && r.id().equals(id))
                         .count();
     }
 
     long fails(String id) {
         return all.stream()
-                .filter(a -> a instanceof Router.Fail f && f.id().equals(id))
+                .filter(a -> a instanceof RoutingAction.Fail f && f.id().equals(id))
                 .count();
     }
 
     long releases(String id) {
         return all.stream()
-                .filter(a -> a instanceof Router.Release r && r.id().equals(id))
+                .filter(a -> a instanceof RoutingAction.ReleaseCache r && r.id().equals(id))
                 .count();
     }
 
--- a/src/test/java/dunlinladder/routing/FleetRulesTest.java
+++ b/src/test/java/dunlinladder/routing/FleetRulesTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.routing.Router.Effect;
-import dunlinladder.routing.Router.Group;
-import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -18,7 +18,7 @@
 /** The rules, kept by fleets of gateways in virtual time. */
 class FleetRulesTest {
 
-    static Router.Settings settings(
+    static RoutingSettings settings(
             int gateways,
             double aim,
             double stop,
@@ -27,12 +27,13 @@
             double cold,
             double from,
             double release) {
-        return new Router.Settings(
+        return new RoutingSettings(
                 gateways,
                 0,
                 List.of(
-                        new Router.ServiceClass(aim, 0.05, 0.05, 0.06, Effect.SAFE, Group.ALL, 5, 1, 0.2),
-                        new Router.ServiceClass(2 * aim, 0.05, 0.05, 0.06, Effect.UNSAFE, Group.ALL, 5, 3, 0.3)),
+                        new RoutingSettings.ServiceClass(aim, 0.05, 0.05, 0.06, Effect.SAFE, Group.ALL, 5, 1, 0.2),
+                        new RoutingSettings.ServiceClass(
+                                2 * aim, 0.05, 0.05, 0.06, Effect.UNSAFE, Group.ALL, 5, 3, 0.3)),
                 List.of(1e9),
                 List.of(Role.PREFILL, Role.DECODE, Role.MIXED),
                 List.of(2e5, 2e5, 2e5),
@@ -41,7 +42,7 @@
                 true,
                 2,
                 false,
-                new Router.Rules(0.01, stop, multiple, tip, cold, from, release));
+                new RoutingSettings.Rules(0.01, stop, multiple, tip, cold, from, release));
     }
 
     /** Either deployment's figures at each size of fleet, at half and nearly all that readers can do. */
--- a/src/test/java/dunlinladder/routing/GoldenDecisionTraceTest.java
+++ b/src/test/java/dunlinladder/routing/GoldenDecisionTraceTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinladder.routing.Router.Effect;
-import dunlinladder.routing.Router.Group;
-import dunlinladder.routing.Router.Role;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -59,16 +59,16 @@
     }
 
     /** The canonical text of an action; the digests hold as long as this writes the same. */
-    private static String text(Router.Action action) {
-        if (action instanceof Router.Send send) {
-            return "send|" + send.id() + "|" + send.worker() + "|" + Double.toHexString(send.timeout());
-        } else if (action instanceof Router.Refuse refuse) {
+    private static String text(RoutingAction action) {
+        if (action instanceof RoutingAction.Forward send) {
+            return "send|" + send.id() + "|" + send.engine() + "|" + Double.toHexString(send.timeout());
+        } else if (action instanceof RoutingAction.Reject refuse) {
             return "refuse|" + refuse.id() + "|" + Double.toHexString(refuse.retryAfter());
-        } else if (action instanceof Router.Fail fail) {
+        } else if (action instanceof RoutingAction.Fail fail) {
             return "fail|" + fail.id();
-        } else if (action instanceof Router.Release release) {
+        } else if (action instanceof RoutingAction.ReleaseCache release) {
             return "release|" + release.id();
-        } else if (action instanceof Router.SetTimer timer) {
+        } else if (action instanceof RoutingAction.SetTimer timer) {
             return "timer|" + timer.token() + "|" + Double.toHexString(timer.delay());
         }
         return "follow";
@@ -92,8 +92,8 @@
     }
 
     /** Two zones of two cells; advice to clients, lists on request. */
-    private static Router.Settings small(int balancers) {
-        return new Router.Settings(
+    private static RoutingSettings small(int balancers) {
+        return new RoutingSettings(
                 balancers,
                 0,
                 List.of(
@@ -109,12 +109,12 @@
                 true,
                 2,
                 true,
-                new Router.Rules(0.01, 0.5, 3, 1.5, 12, 0.29, 0.5));
+                new RoutingSettings.Rules(0.01, 0.5, 3, 1.5, 12, 0.29, 0.5));
     }
 
     /** Four zones of three cells; readers of two kinds, a kind that the settings don't know, short memory. */
-    private static Router.Settings wide(int balancers) {
-        return new Router.Settings(
+    private static RoutingSettings wide(int balancers) {
+        return new RoutingSettings(
                 balancers,
                 1,
                 List.of(
@@ -130,11 +130,11 @@
                 false,
                 1,
                 false,
-                new Router.Rules(0.02, 1, 4, 1, 14, 0.2, 0.8));
+                new RoutingSettings.Rules(0.02, 1, 4, 1, 14, 0.2, 0.8));
     }
 
-    private static Router.ServiceClass type(
+    private static RoutingSettings.ServiceClass type(
             double aim, double perKilotoken, double tokenAim, Effect effect, Group group, double window) {
-        return new Router.ServiceClass(aim, perKilotoken, 0.05, tokenAim, effect, group, window, 1, 0.2);
+        return new RoutingSettings.ServiceClass(aim, perKilotoken, 0.05, tokenAim, effect, group, window, 1, 0.2);
     }
 }
--- a/src/test/java/dunlinladder/routing/GoldenFleet.java
+++ b/src/test/java/dunlinladder/routing/GoldenFleet.java
@@ -1,9 +1,9 @@
 package dunlinladder.routing;
 
-import dunlinladder.routing.Router.Lifecycle;
-import dunlinladder.routing.Router.Role;
-import dunlinladder.routing.Router.Scope;
-import dunlinladder.routing.Router.Status;
+import dunlinladder.routing.RoutingEvent.Lifecycle;
+import dunlinladder.routing.RoutingEvent.Scope;
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
      * @param slots streams that an engine runs at once
      */
     record Figures(
-            Router.Settings settings,
+            RoutingSettings settings,
             int gateways,
             int[] engines,
             int zones,
@@ -62,7 +62,7 @@
 
     private static final class Call {
         int gateway;
-        Router.Request request;
+        RoutingEvent.Request request;
         Engine holder;
         int sends;
         boolean out;
@@ -71,8 +71,8 @@
     }
 
     private final Figures figures;
-    private final Router.Settings settings;
-    private final BiConsumer<Integer, Router.Action> seen;
+    private final RoutingSettings settings;
+    private final BiConsumer<Integer, RoutingAction> seen;
     private final Random random;
     private final List<Router> gateways = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
@@ -84,7 +84,7 @@
     private long number;
     private int requests;
 
-    GoldenFleet(Figures figures, BiConsumer<Integer, Router.Action> seen) {
+    GoldenFleet(Figures figures, BiConsumer<Integer, RoutingAction> seen) {
         this.figures = figures;
         this.settings = figures.settings;
         this.seen = seen;
@@ -160,7 +160,7 @@
         long prefix = shared ? 1 + (long) (8 * random.nextDouble() * random.nextDouble()) : 0;
         double life = chance(0.1) ? 0.5 + random.nextDouble() : 4 + 3 * random.nextDouble();
         double hint = chance(0.5) ? 1 + 9 * random.nextDouble() : 0;
-        Router.Request request = new Router.Request(
+        RoutingEvent.Request request = new RoutingEvent.Request(
                 "q" + requests++,
                 random.nextInt(settings.classes().size()),
                 random.nextInt(settings.quotas().size() + 2) - 1,
@@ -177,14 +177,14 @@
         call(random.nextInt(gateways.size()), request);
     }
 
-    private void call(int gateway, Router.Request request) {
+    private void call(int gateway, RoutingEvent.Request request) {
         Call call = new Call();
         call.gateway = gateway;
         call.request = request;
         calls.put(request.id(), call);
-        handle(gateway, new Router.Arrival(request));
+        handle(gateway, new RoutingEvent.RequestArrived(request));
         if (chance(0.03)) {
-            in(random.nextDouble() * 2, () -> handle(gateway, new Router.Arrival(request)));
+            in(random.nextDouble() * 2, () -> handle(gateway, new RoutingEvent.RequestArrived(request)));
         }
         if (chance(0.04)) {
             in(random.nextDouble() * 1.5, () -> leave(call));
@@ -194,7 +194,7 @@
     private void leave(Call call) {
         if (!call.done) {
             call.done = true;
-            handle(call.gateway, new Router.ClientGone(call.request.id()));
+            handle(call.gateway, new RoutingEvent.ClientDisconnected(call.request.id()));
         }
     }
 
@@ -202,14 +202,14 @@
     private void answered(String id, double after) {
         Call call = calls.get(id);
         call.done = true;
-        Router.Request r = call.request;
+        RoutingEvent.Request r = call.request;
         if (chance(0.3)) {
             boolean same = chance(0.5);
             in(
                     0.05 + after,
                     () -> call(
                             call.gateway,
-                            new Router.Request(
+                            new RoutingEvent.Request(
                                     same ? id : id + "r",
                                     r.serviceClass(),
                                     r.tenant(),
@@ -222,26 +222,26 @@
                                     r.maxOut(),
                                     true,
                                     false,
-                                    r.fits())));
+                                    r.eligible())));
         }
     }
 
     // ---- Gateways ----
 
-    private void handle(int gateway, Router.Event event) {
-        for (Router.Action action : gateways.get(gateway).handle(now, event)) {
+    private void handle(int gateway, RoutingEvent event) {
+        for (RoutingAction action : gateways.get(gateway).handle(now, event)) {
             seen.accept(gateway, action);
-            if (action instanceof Router.Send send) {
+            if (action instanceof RoutingAction.Forward send) {
                 send(calls.get(send.id()), send);
-            } else if (action instanceof Router.Refuse refuse) {
+            } else if (action instanceof RoutingAction.Reject refuse) {
                 answered(refuse.id(), refuse.retryAfter());
-            } else if (action instanceof Router.Fail fail) {
+            } else if (action instanceof RoutingAction.Fail fail) {
                 answered(fail.id(), 0.2);
-            } else if (action instanceof Router.Release release) {
+            } else if (action instanceof RoutingAction.ReleaseCache release) {
                 calls.get(release.id()).holder = null;
-            } else if (action instanceof Router.SetTimer timer) {
-                in(timer.delay(), () -> handle(gateway, new Router.Timer(timer.token())));
-            } else if (action instanceof Router.Follow) {
+            } else if (action instanceof RoutingAction.SetTimer timer) {
+                in(timer.delay(), () -> handle(gateway, new RoutingEvent.TimerFired(timer.token())));
+            } else if (action instanceof RoutingAction.WatchEndpoints) {
                 in(0.05, () -> follow(gateway));
             }
         }
@@ -251,8 +251,8 @@
         list(gateway, chance(0.3) ? Scope.FAILED : Scope.COMPLETE, engines);
     }
 
-    private void send(Call call, Router.Send send) {
-        Engine engine = engines.get(Integer.parseInt(send.worker().substring(1)));
+    private void send(Call call, RoutingAction.Forward send) {
+        Engine engine = engines.get(Integer.parseInt(send.engine().substring(1)));
         Try attempt = new Try(call, engine, call.sends++, now);
         call.out = true;
         double left = call.request.expires() - 0.03 - now;
@@ -282,7 +282,7 @@
 
     private void read(Try attempt, double limit) {
         Engine engine = attempt.engine;
-        Router.Request request = attempt.call.request;
+        RoutingEvent.Request request = attempt.call.request;
         double found = chance(0.5) ? request.prefixTokens() * random.nextDouble() : 0;
         engine.freeAt =
                 Math.max(now, engine.freeAt) + (request.promptTokens() - found) / 1000 * figures.read / speed(engine);
@@ -340,8 +340,8 @@
             return;
         }
         call.begun = true;
-        Router.FirstToken first =
-                new Router.FirstToken(call.request.id(), attempt.number, attempt.engine.id, now - attempt.at);
+        RoutingEvent.FirstTokenReceived first = new RoutingEvent.FirstTokenReceived(
+                call.request.id(), attempt.number, attempt.engine.id, now - attempt.at);
         handle(call.gateway, first);
         if (chance(0.02)) {
             handle(call.gateway, first);
@@ -354,7 +354,7 @@
         boolean closed = call.done || call.begun || told == Status.OK;
         call.out = false;
         call.done |= closed;
-        Router.Outcome outcome = new Router.Outcome(
+        RoutingEvent.AttemptEnded outcome = new RoutingEvent.AttemptEnded(
                 call.request.id(),
                 attempt.number,
                 attempt.engine.id,
@@ -382,9 +382,9 @@
 
     // ---- Changes of the fleet ----
 
-    private Router.Member member(Engine engine, Lifecycle lifecycle) {
+    private RoutingEvent.Endpoint member(Engine engine, Lifecycle lifecycle) {
         int cell = engine.number % (figures.zones * figures.cellsInZone);
-        return new Router.Member(
+        return new RoutingEvent.Endpoint(
                 engine.id,
                 cell % figures.zones,
                 engine.kind,
@@ -397,7 +397,7 @@
     private void list(int gateway, Scope scope, List<Engine> named) {
         handle(
                 gateway,
-                new Router.Members(
+                new RoutingEvent.EndpointsChanged(
                         scope,
                         scope == Scope.FAILED
                                 ? List.of()
@@ -420,7 +420,7 @@
                 in(1.1, () -> list(gateway, Scope.COMPLETE, engines));
             }
             case 3 -> list(gateway, Scope.CHANGES, engines.subList(0, out));
-            default -> handle(gateway, new Router.Timer(1));
+            default -> handle(gateway, new RoutingEvent.TimerFired(1));
         }
     }
 
@@ -460,10 +460,12 @@
     }
 
     private void tell(Engine engine, Lifecycle lifecycle) {
-        Router.Member member = member(engine, lifecycle);
+        RoutingEvent.Endpoint member = member(engine, lifecycle);
         for (int i = 0; i < gateways.size(); i++) {
             int gateway = i;
-            in(0.3 * random.nextDouble(), () -> handle(gateway, new Router.Members(Scope.CHANGES, List.of(member))));
+            in(
+                    0.3 * random.nextDouble(),
+                    () -> handle(gateway, new RoutingEvent.EndpointsChanged(Scope.CHANGES, List.of(member))));
         }
     }
 }
--- a/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.routing.Router.Effect;
-import dunlinladder.routing.Router.Group;
-import dunlinladder.routing.Router.Role;
-import dunlinladder.routing.Router.Status;
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,9 +31,9 @@
     @Test
     void readsThenPullsInTheReadersCell() {
         Fleet fleet = pair();
-        String reader = fleet.arrive("a").worker();
+        String reader = fleet.arrive("a").engine();
         fleet.outcome("a", Status.PREFILLED);
-        assertEquals(reader.replace('r', 'w'), fleet.lastSend().worker());
+        assertEquals(reader.replace('r', 'w'), fleet.lastSend().engine());
         fleet.first("a");
         fleet.outcome("a", Status.OK);
         assertEquals(0, fleet.finals("a"));
@@ -42,17 +42,17 @@
     @Test
     void spreadsReadsByOwnCount() {
         Fleet fleet = pair();
-        String first = fleet.arrive("a").worker();
-        assertFalse(first.equals(fleet.arrive("b").worker()));
+        String first = fleet.arrive("a").engine();
+        assertFalse(first.equals(fleet.arrive("b").engine()));
     }
 
     @Test
     void keptSessionIsPreferredWhenNotClearlyBusier() {
         Fleet fleet = pair();
-        String reader = fleet.arrive("a", 7).worker();
+        String reader = fleet.arrive("a", 7).engine();
         fleet.serve("a");
         for (int i = 0; i < 5; i++) {
-            assertEquals(reader, fleet.arrive("b" + i, 7).worker());
+            assertEquals(reader, fleet.arrive("b" + i, 7).engine());
             fleet.serve("b" + i);
         }
     }
@@ -63,13 +63,13 @@
         Fleet fleet = pair();
         List<Integer> kept = new ArrayList<>();
         for (int i = 0; kept.size() < 7; i++) {
-            if (fleet.arrive("a" + i, i).worker().equals("r0")) {
+            if (fleet.arrive("a" + i, i).engine().equals("r0")) {
                 kept.add(i);
             }
             fleet.serve("a" + i);
         }
         for (int session : kept) {
-            assertEquals("r0", fleet.arrive("b" + session, session).worker());
+            assertEquals("r0", fleet.arrive("b" + session, session).engine());
         }
     }
 
@@ -82,11 +82,11 @@
             fleet.serve("a" + i);
         }
         fleet.shared("b", 9);
-        String reader = fleet.lastSend().worker();
+        String reader = fleet.lastSend().engine();
         int same = 0;
         for (int i = 0; i < 4; i++) {
             fleet.shared("c" + i, 9);
-            same += fleet.lastSend().worker().equals(reader) ? 1 : 0;
+            same += fleet.lastSend().engine().equals(reader) ? 1 : 0;
         }
         assertTrue(same < 3, "at the same reader: " + same);
     }
@@ -101,16 +101,16 @@
                 .listed();
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
-        String full = fleet.lastSend().worker();
+        String full = fleet.lastSend().engine();
         fleet.first("a");
         fleet.arrive("b");
         fleet.outcome("b", Status.PREFILLED);
-        assertFalse(full.equals(fleet.lastSend().worker()));
+        assertFalse(full.equals(fleet.lastSend().engine()));
         fleet.first("b");
         fleet.reported("a", Status.OK, Map.of("x0", 0.97, "x1", 0.0));
         fleet.arrive("c");
         fleet.outcome("c", Status.PREFILLED);
-        assertFalse(full.equals(fleet.lastSend().worker()));
+        assertFalse(full.equals(fleet.lastSend().engine()));
     }
 
     /** While the readers are behind, a mixed server that is not takes requests, its share or not. */
@@ -121,9 +121,9 @@
                 .with("w0", 0, Role.DECODE)
                 .with("m0", 0, Role.MIXED)
                 .listed();
-        assertEquals("r0", fleet.arrive("a").worker());
+        assertEquals("r0", fleet.arrive("a").engine());
         fleet.run(0.4);
-        assertEquals("m0", fleet.arrive("b").worker());
+        assertEquals("m0", fleet.arrive("b").engine());
     }
 
     /** What a mixed server reads slows its streams: once they last much longer than others it gets none. */
@@ -138,7 +138,7 @@
             int[] whole = new int[2];
             for (int i = 0; i < 60; i++) {
                 String id = "a" + i;
-                boolean mixed = fleet.arrive(id).worker().equals("m0");
+                boolean mixed = fleet.arrive(id).engine().equals("m0");
                 if (!mixed) {
                     fleet.outcome(id, Status.PREFILLED);
                 }
@@ -176,7 +176,7 @@
         int failed = 0;
         for (int i = 0; i < 40; i++) {
             fleet.arrive("a" + i);
-            while (!fleet.lastSend().worker().equals("r0") && fleet.finals("a" + i) == 0) {
+            while (!fleet.lastSend().engine().equals("r0") && fleet.finals("a" + i) == 0) {
                 fleet.outcome("a" + i, Status.CONNECT_FAILED);
                 failed++;
             }
@@ -237,7 +237,7 @@
                 .listed();
         int whole = 0;
         for (int i = 0; i < 20; i++) {
-            boolean mixed = fleet.arrive("a" + i).worker().equals("m0");
+            boolean mixed = fleet.arrive("a" + i).engine().equals("m0");
             whole += mixed ? 1 : 0;
             if (!mixed) {
                 fleet.outcome("a" + i, Status.PREFILLED);
@@ -253,9 +253,9 @@
             Fleet fleet = pair();
             fleet.arrive("a");
             fleet.outcome("a", Status.PREFILLED);
-            String writer = fleet.lastSend().worker();
+            String writer = fleet.lastSend().engine();
             fleet.outcome("a", status);
-            assertEquals(writer.equals("w0") ? "w1" : "w0", fleet.lastSend().worker(), status.name());
+            assertEquals(writer.equals("w0") ? "w1" : "w0", fleet.lastSend().engine(), status.name());
         }
     }
 
@@ -266,7 +266,7 @@
         fleet.outcome("a", Status.PREFILLED);
         fleet.outcome("a", Status.FULL, 1, false);
         assertEquals(1, fleet.releases("a"), "a cut-off reader still holds it");
-        assertTrue(fleet.lastSend().worker().startsWith("r"));
+        assertTrue(fleet.lastSend().engine().startsWith("r"));
     }
 
     @Test
@@ -274,11 +274,11 @@
         for (Status status : List.of(
                 Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair();
-            String reader = fleet.arrive("a").worker();
+            String reader = fleet.arrive("a").engine();
             fleet.outcome("a", status);
             assertEquals(
                     reader.equals(NEAR_READER) ? FAR_READER : NEAR_READER,
-                    fleet.lastSend().worker());
+                    fleet.lastSend().engine());
         }
     }
 
@@ -286,9 +286,9 @@
     void drainedServerGetsNothing() {
         Fleet fleet = pair().drain("r0").drain("w0");
         for (int i = 0; i < 8; i++) {
-            assertEquals("r1", fleet.arrive("a" + i).worker());
+            assertEquals("r1", fleet.arrive("a" + i).engine());
             fleet.outcome("a" + i, Status.PREFILLED);
-            assertEquals("w1", fleet.lastSend().worker());
+            assertEquals("w1", fleet.lastSend().engine());
         }
     }
 
@@ -307,7 +307,7 @@
         fleet.request("a", 1);
         fleet.run(1);
         fleet.with("r0", 0, Role.PREFILL).listed();
-        assertEquals("r0", fleet.lastSend().worker());
+        assertEquals("r0", fleet.lastSend().engine());
     }
 
     @Test
@@ -340,8 +340,8 @@
         fleet.arrive("b");
         fleet.run(6);
         List<Double> advice = fleet.all.stream()
-                .filter(Router.Refuse.class::isInstance)
-                .map(each -> ((Router.Refuse) each).retryAfter())
+                .filter(RoutingAction.Reject.class::isInstance)
+                .map(each -> ((RoutingAction.Reject) each).retryAfter())
                 .distinct()
                 .toList();
         assertEquals(2, advice.size());
@@ -393,7 +393,7 @@
             fleet.restart("r1").arrive("a" + i);
             fleet.arrive("b" + i);
             sent += (int) fleet.sent.stream()
-                    .filter(send -> send.worker().equals("r1"))
+                    .filter(send -> send.engine().equals("r1"))
                     .count();
         }
         assertTrue(sent <= routers / 4, "sends to the cold reader: " + sent);
@@ -418,12 +418,12 @@
         Fleet fleet = pair().with("v0", 0, Role.DECODE).listed().type(Effect.KEYED, Group.CELL);
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
-        int cell = fleet.cell(fleet.lastSend().worker());
+        int cell = fleet.cell(fleet.lastSend().engine());
         int sends = fleet.sends();
         fleet.outcome("a", Status.RESET);
         fleet.run(1);
-        for (Router.Send send : fleet.sent.subList(sends, fleet.sends())) {
-            assertTrue(send.worker().startsWith("r") || fleet.cell(send.worker()) == cell);
+        for (RoutingAction.Forward send : fleet.sent.subList(sends, fleet.sends())) {
+            assertTrue(send.engine().startsWith("r") || fleet.cell(send.engine()) == cell);
         }
     }
 
@@ -452,8 +452,8 @@
     void unknownIdsAreIgnored() {
         Fleet fleet = pair();
         fleet.gone("x");
-        fleet.handle(new Router.FirstToken("x", 0, "r0", 0.1));
-        fleet.handle(new Router.Outcome("x", 0, "r0", Status.OK, 0.1, true, 0, java.util.Map.of()));
+        fleet.handle(new RoutingEvent.FirstTokenReceived("x", 0, "r0", 0.1));
+        fleet.handle(new RoutingEvent.AttemptEnded("x", 0, "r0", Status.OK, 0.1, true, 0, java.util.Map.of()));
         assertEquals(0, fleet.sends());
     }
 
@@ -470,7 +470,7 @@
             fleet.request("a" + i, i);
         }
         long cold =
-                fleet.sent.stream().filter(send -> send.worker().equals("r1")).count();
+                fleet.sent.stream().filter(send -> send.engine().equals("r1")).count();
         assertTrue(cold < 4, "sends to the cold reader: " + cold);
     }
 
@@ -484,7 +484,7 @@
                 .listed();
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
-            if (!fleet.lastSend().worker().equals("r0")) {
+            if (!fleet.lastSend().engine().equals("r0")) {
                 fleet.run(0.05);
                 fleet.serve("a" + i);
             }
@@ -495,15 +495,15 @@
             fleet.arrive("b" + i);
         }
         assertTrue(fleet.sent.subList(before, fleet.sends()).stream()
-                .noneMatch(send -> send.worker().equals("r0")));
+                .noneMatch(send -> send.engine().equals("r0")));
     }
 
     @Test
     void failedListCallIsTriedAgain() {
         Fleet fleet = pair();
-        fleet.handle(new Router.Members(Router.Scope.FAILED, List.of()));
+        fleet.handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.FAILED, List.of()));
         fleet.run(3);
-        assertTrue(fleet.all.stream().anyMatch(action -> action instanceof Router.Follow));
+        assertTrue(fleet.all.stream().anyMatch(action -> action instanceof RoutingAction.WatchEndpoints));
     }
 
     @Test
@@ -511,7 +511,7 @@
         assertEquals(trace(), trace());
     }
 
-    private static List<Router.Action> trace() {
+    private static List<RoutingAction> trace() {
         Fleet fleet = pair();
         for (int i = 0; i < 40; i++) {
             if (fleet.arrive("a" + i) != null) {
@@ -568,7 +568,7 @@
             Fleet two = pair().seed(99);
             one.shared("a", prefix);
             two.shared("b", prefix);
-            assertEquals(one.lastSend().worker(), two.lastSend().worker());
+            assertEquals(one.lastSend().engine(), two.lastSend().engine());
         }
     }
 
@@ -585,7 +585,7 @@
             fleet.arrive("a" + i);
             fleet.run(0.05);
             fleet.outcome("a" + i, Status.PREFILLED);
-            elsewhere |= fleet.lastSend().worker().equals("w1");
+            elsewhere |= fleet.lastSend().engine().equals("w1");
             fleet.first("a" + i);
             assertTrue(i > 0 || !elsewhere, "the first one stays in the cell");
         }
@@ -694,10 +694,10 @@
                 fleet.with("r" + k, 0, Role.PREFILL).with("w" + (k + 1), 1, Role.DECODE);
             }
             fleet.seed(i).arrive("a" + i);
-            if (!fleet.lastSend().worker().equals("r9")) {
+            if (!fleet.lastSend().engine().equals("r9")) {
                 reads++;
                 fleet.outcome("a" + i, Status.PREFILLED);
-                home += fleet.lastSend().worker().equals("w0") ? 1 : 0;
+                home += fleet.lastSend().engine().equals("w0") ? 1 : 0;
             }
         }
         assertTrue(home > 0 && home < reads / 2, home + " of " + reads + " on the cell's one writer");
@@ -719,7 +719,7 @@
                 fleet.serve(i + "-" + k);
             }
             fleet.shared("z" + i, 7);
-            counts.merge(fleet.lastSend().worker(), 1, Integer::sum);
+            counts.merge(fleet.lastSend().engine(), 1, Integer::sum);
         }
         assertTrue(counts.size() > 5 && counts.values().stream().allMatch(n -> n < 25), counts.toString());
     }
@@ -753,7 +753,7 @@
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
             fleet.run(0.05);
-            for (int tries = 0; tries < 3 && fleet.lastSend().worker().equals("r0"); tries++) {
+            for (int tries = 0; tries < 3 && fleet.lastSend().engine().equals("r0"); tries++) {
                 erring++;
                 fleet.outcome("a" + i, Status.ERROR);
             }
@@ -789,7 +789,7 @@
                 // What goes to a warm reader takes over a second, several times the usual.
                 fleet.shared("b" + i, i);
                 boolean sent = fleet.finals("b" + i) == 0;
-                boolean warm = sent && fleet.lastSend().worker().compareTo("r4") < 0;
+                boolean warm = sent && fleet.lastSend().engine().compareTo("r4") < 0;
                 refused += sent ? 0 : 1;
                 cold += sent && !warm ? 1 : 0;
                 fleet.run(warm ? 1.2 : 0.2);
@@ -821,10 +821,10 @@
         int failing = 0;
         for (int i = 0; i < 400; i++) {
             fleet.arrive("a" + i);
-            if (fleet.lastSend().worker().startsWith("r")) {
+            if (fleet.lastSend().engine().startsWith("r")) {
                 fleet.outcome("a" + i, Status.PREFILLED);
             }
-            if (fleet.lastSend().worker().equals("m0")) {
+            if (fleet.lastSend().engine().equals("m0")) {
                 failing++;
                 fleet.outcome("a" + i, Status.ERROR, 0, true);
             } else {
--- a/src/test/java/dunlinladder/routing/VirtualFleet.java
+++ b/src/test/java/dunlinladder/routing/VirtualFleet.java
@@ -1,9 +1,9 @@
 package dunlinladder.routing;
 
-import dunlinladder.routing.Router.Effect;
-import dunlinladder.routing.Router.Lifecycle;
-import dunlinladder.routing.Router.Role;
-import dunlinladder.routing.Router.Status;
+import dunlinladder.routing.RoutingEvent.Lifecycle;
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
      * @param changes seconds between two drains or crashes
      */
     record Figures(
-            Router.Settings settings,
+            RoutingSettings settings,
             int[] engines,
             double rate,
             double read,
@@ -89,7 +89,7 @@
     int served;
     int requests;
     private final Figures figures;
-    private final Router.Settings settings;
+    private final RoutingSettings settings;
     private final Random random;
     private final List<Router> gateways = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
@@ -124,8 +124,8 @@
             told.add(new HashMap<>());
             handle(
                     i,
-                    new Router.Members(
-                            Router.Scope.COMPLETE,
+                    new RoutingEvent.EndpointsChanged(
+                            RoutingEvent.Scope.COMPLETE,
                             engines.stream()
                                     .map(e -> member(e, Lifecycle.ACTIVE))
                                     .toList()));
@@ -191,8 +191,8 @@
         }
     }
 
-    private Router.Member member(Engine engine, Lifecycle lifecycle) {
-        return new Router.Member(engine.id, 0, engine.kind, engine.cell, lifecycle, 1, engine.born);
+    private RoutingEvent.Endpoint member(Engine engine, Lifecycle lifecycle) {
+        return new RoutingEvent.Endpoint(engine.id, 0, engine.kind, engine.cell, lifecycle, 1, engine.born);
     }
 
     // ---- Clients ----
@@ -211,7 +211,7 @@
         in(6, () -> check(track.finals > 0 || track.begun, id, "has no answer by its deadline"));
         handle(
                 track.gateway,
-                new Router.Arrival(new Router.Request(
+                new RoutingEvent.RequestArrived(new RoutingEvent.Request(
                         id,
                         type,
                         0,
@@ -232,7 +232,7 @@
     private void leave(String id, Track track) {
         if (track.finals == 0 && !track.begun) {
             track.finals++;
-            handle(track.gateway, new Router.ClientGone(id));
+            handle(track.gateway, new RoutingEvent.ClientDisconnected(id));
         }
     }
 
@@ -246,28 +246,28 @@
 
     // ---- Gateways ----
 
-    private void handle(int gateway, Router.Event event) {
-        for (Router.Action action : gateways.get(gateway).handle(now, event)) {
-            if (action instanceof Router.Send send) {
+    private void handle(int gateway, RoutingEvent event) {
+        for (RoutingAction action : gateways.get(gateway).handle(now, event)) {
+            if (action instanceof RoutingAction.Forward send) {
                 send(gateway, send);
-            } else if (action instanceof Router.Refuse refuse) {
+            } else if (action instanceof RoutingAction.Reject refuse) {
                 Track track = tracks.get(refuse.id());
                 check(!(track.effect == Effect.UNSAFE && track.mayHaveRun), refuse.id(), "is refused, may have run");
                 answered(refuse.id());
-            } else if (action instanceof Router.Fail fail) {
+            } else if (action instanceof RoutingAction.Fail fail) {
                 answered(fail.id());
-            } else if (action instanceof Router.Release release && !tracks.get(release.id()).out) {
+            } else if (action instanceof RoutingAction.ReleaseCache release && !tracks.get(release.id()).out) {
                 tracks.get(release.id()).holder = null;
-            } else if (action instanceof Router.SetTimer timer) {
-                in(timer.delay(), () -> handle(gateway, new Router.Timer(timer.token())));
+            } else if (action instanceof RoutingAction.SetTimer timer) {
+                in(timer.delay(), () -> handle(gateway, new RoutingEvent.TimerFired(timer.token())));
             }
         }
     }
 
-    private void send(int gateway, Router.Send send) {
+    private void send(int gateway, RoutingAction.Forward send) {
         Track track = tracks.get(send.id());
         Engine engine = engines.stream()
-                .filter(e -> e.id.equals(send.worker()))
+                .filter(e -> e.id.equals(send.engine()))
                 .findFirst()
                 .orElseThrow();
         Role role = settings.roleByKind().get(engine.kind);
@@ -334,7 +334,7 @@
                 "is pushed over: " + engine.sends.size() + " sends, at most " + (int) bound);
     }
 
-    private void read(Router.Send send, Track track, int attempt, Engine engine, double limit) {
+    private void read(RoutingAction.Forward send, Track track, int attempt, Engine engine, double limit) {
         double sentAt = now;
         engine.freeAt = Math.max(now, engine.freeAt) + track.tokens / 1000 * figures.read / speed(engine);
         double born = engine.born;
@@ -351,7 +351,7 @@
         });
     }
 
-    private void write(Router.Send send, Track track, int attempt, Engine engine, Role role, double limit) {
+    private void write(RoutingAction.Forward send, Track track, int attempt, Engine engine, Role role, double limit) {
         double sentAt = now;
         boolean state = track.holder != null && track.holder.up;
         if (!state && role == Role.DECODE) {
@@ -381,7 +381,7 @@
             track.begun = true;
             track.mayHaveRun = true;
             track.holder = null;
-            handle(track.gateway, new Router.FirstToken(send.id(), attempt, send.worker(), now - sentAt));
+            handle(track.gateway, new RoutingEvent.FirstTokenReceived(send.id(), attempt, send.engine(), now - sentAt));
             in(lasts, () -> {
                 if (track.lost) {
                     return;
@@ -395,7 +395,8 @@
     }
 
     /** An attempt has ended; whatever its request holds then has its time. */
-    private void ended(Router.Send send, Track track, int attempt, double sentAt, Status status, double note) {
+    private void ended(
+            RoutingAction.Forward send, Track track, int attempt, double sentAt, Status status, double note) {
         if (!track.out) {
             return;
         }
@@ -413,7 +414,8 @@
         boolean closed = track.finals > 0 || track.begun;
         handle(
                 track.gateway,
-                new Router.Outcome(send.id(), attempt, send.worker(), status, now - sentAt, closed, note, Map.of()));
+                new RoutingEvent.AttemptEnded(
+                        send.id(), attempt, send.engine(), status, now - sentAt, closed, note, Map.of()));
     }
 
     // ---- Changes of the fleet ----
@@ -460,8 +462,8 @@
         gateways.set(gateway, new RoutingPolicy(settings, random.nextLong()));
         handle(
                 gateway,
-                new Router.Members(
-                        Router.Scope.COMPLETE,
+                new RoutingEvent.EndpointsChanged(
+                        RoutingEvent.Scope.COMPLETE,
                         engines.stream()
                                 .filter(e -> e.up)
                                 .map(e -> member(e, Lifecycle.ACTIVE))
@@ -495,7 +497,7 @@
 
     /** Each gateway hears of it in its own time, in order. */
     private void news(Engine engine, Lifecycle lifecycle) {
-        Router.Member member = member(engine, lifecycle);
+        RoutingEvent.Endpoint member = member(engine, lifecycle);
         for (int i = 0; i < gateways.size(); i++) {
             int gateway = i;
             toldAt[i] = Math.max(toldAt[i], now + random.nextDouble() * figures.newsDelay);
@@ -505,7 +507,7 @@
                 } else {
                     told.get(gateway).putIfAbsent(engine.id, now);
                 }
-                handle(gateway, new Router.Members(Router.Scope.CHANGES, List.of(member)));
+                handle(gateway, new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(member)));
             });
         }
     }
