--- a/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
@@ -9,7 +9,7 @@
 import dunlinladder.membership.EndpointUpdate;
 import dunlinladder.migration.EngineEligibility;
 import dunlinladder.routing.BlockingRequestRouter;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.chat.ChatExchange;
 import dunlinladder.transport.chat.ChatSettings;
 import dunlinladder.transport.discovery.EndpointListReader;
@@ -178,8 +178,9 @@
 
     /** The stages of a request that an engine can serve; a kind that the settings do not know counts as mixed. */
     private int stagesOf(Engine engine) {
-        List<Router.Role> roles = config.routing().roleByKind();
-        Router.Role role = engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED;
+        List<RoutingSettings.Role> roles = config.routing().roleByKind();
+        RoutingSettings.Role role =
+                engine.kind() < roles.size() ? roles.get(engine.kind()) : RoutingSettings.Role.MIXED;
         return switch (role) {
             case PREFILL -> EngineEligibility.READS;
             case DECODE -> EngineEligibility.WRITES;
--- a/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
@@ -2,7 +2,7 @@
 
 import dunlinladder.core.Limits;
 import dunlinladder.membership.WatchTimeouts;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.JsonObject;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -26,7 +26,7 @@
         Discovery discovery,
         DeploymentNames names,
         List<Double> deadlines,
-        Router.Settings routing,
+        RoutingSettings routing,
         Limits limits) {
 
     /** Copies the list. */
--- a/src/main/java/dunlinladder/lifecycle/GatewayConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfigReader.java
@@ -2,7 +2,7 @@
 
 import dunlinladder.core.Limits;
 import dunlinladder.membership.WatchTimeouts;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import dunlinladder.transport.settings.SettingsReader;
@@ -73,7 +73,7 @@
     /** Reads a configuration that is already parsed. */
     static GatewayConfig read(JsonObject file, Map<String, String> environment) {
         JsonObject settings = file.child("settings");
-        Router.Settings routing = SettingsReader.read(settings);
+        RoutingSettings routing = SettingsReader.read(settings);
         warnOfUnknownSettings(settings);
         Limits limits = LimitsReader.read(file.childOrEmpty("limits"), settings.childOrEmpty("caps"), routing);
         return new GatewayConfig(
@@ -108,7 +108,7 @@
     }
 
     private static GatewayConfig.Discovery discovery(
-            JsonObject file, Map<String, String> environment, Router.Settings routing) {
+            JsonObject file, Map<String, String> environment, RoutingSettings routing) {
         double stopSendingSeconds = routing.rules().stopSendingWithin();
         return new GatewayConfig.Discovery(
                 parseAddress(environment.getOrDefault(DISCOVERY_VARIABLE, file.text("discovery", null)), "discovery"),
--- a/src/main/java/dunlinladder/lifecycle/LimitsReader.java
+++ b/src/main/java/dunlinladder/lifecycle/LimitsReader.java
@@ -1,7 +1,7 @@
 package dunlinladder.lifecycle;
 
 import dunlinladder.core.Limits;
-import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.JsonObject;
 
 /**
@@ -64,7 +64,7 @@
      * @param caps the platform's caps: {@code most-held}, {@code keepalive}, {@code connect-timeout}
      * @param routing the settings of the routing policy
      */
-    static Limits read(JsonObject process, JsonObject caps, Router.Settings routing) {
+    static Limits read(JsonObject process, JsonObject caps, RoutingSettings routing) {
         return new Limits(
                 new Limits.MessageLimits(
                         MAX_HEAD_BYTES,
@@ -106,7 +106,7 @@
     }
 
     /** How far this process may be behind; where no KV cache is held for a decode engine, as if the default held. */
-    private static double maxLagSeconds(Router.Settings routing) {
+    private static double maxLagSeconds(RoutingSettings routing) {
         double releaseWaitSeconds = routing.rules().releaseWithin();
         return (releaseWaitSeconds > 0 ? releaseWaitSeconds : DEFAULT_RELEASE_WAIT_SECONDS) / PARTS_OF_RELEASE_WAIT;
     }
