--- a/src/main/java/dunlinladder/lifecycle/GatewayConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfigReader.java
@@ -6,6 +6,7 @@
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import dunlinladder.transport.settings.SettingsReader;
+import dunlinladder.transport.settings.UnknownSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -87,7 +88,7 @@
     }
 
     private static void warnOfUnknownSettings(JsonObject settings) {
-        List<String> unknown = SettingsReader.unknown(settings);
+        List<String> unknown = UnknownSettings.find(settings);
         if (!unknown.isEmpty()) {
             LOG.warn("event=unknown_settings keys={}", String.join(",", unknown));
         }
--- a/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -7,7 +7,7 @@
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
-import dunlinladder.transport.settings.SettingsReader;
+import dunlinladder.transport.settings.UnknownSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -71,7 +71,7 @@
                                 .replace("\"objective\":1", "\"objective\":1,\"odd\":2"),
                         "c")
                 .child("settings");
-        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"), SettingsReader.unknown(settings));
+        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"), UnknownSettings.find(settings));
     }
 
     /** The decisions see no name of a class, tenant, zone or kind: the same settings, and the same list. */
