--- a/src/main/java/dunlinladder/demo/DemoEngine.java
+++ b/src/main/java/dunlinladder/demo/DemoEngine.java
@@ -9,40 +9,60 @@
 import dunlinladder.lifecycle.DemoConfiguration;
 import java.io.IOException;
 import java.io.OutputStream;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 
-/** A model server on loopback that reads or writes in one format and tells what it saw. */
+/** An engine on loopback that prefills or decodes in one API format and reports what it was sent. */
 final class DemoEngine implements AutoCloseable {
 
+    private static final int STATUS_OK = 200;
+    /** A prefill engine's answer: the KV cache waits to be fetched. */
+    private static final int STATUS_PREFILLED = 202;
+
+    private static final int STATUS_RELEASED = 204;
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int PROMPT_TOKENS = 24;
+    private static final int COMPLETION_TOKENS = 8;
+
     private final String name;
-    private final boolean reads;
+    private final Stage stage;
     private final ApiFormat format;
-    private final Consumer<String> saw;
+    private final Consumer<String> requestLog;
     private final HttpServer server;
 
-    DemoEngine(String name, boolean reads, ApiFormat format, Consumer<String> saw) throws IOException {
+    /** What an engine does for a request. */
+    enum Stage {
+        /** Runs the prompt and keeps its KV cache. */
+        PREFILL("reads", DemoConfiguration.PREFILL_KIND),
+        /** Fetches the KV cache and streams the answer. */
+        DECODE("writes", DemoConfiguration.DECODE_KIND);
+
+        private final String verb;
+        private final String kind;
+
+        Stage(String verb, String kind) {
+            this.verb = verb;
+            this.kind = kind;
+        }
+    }
+
+    /**
+     * Starts the engine on a free port.
+     *
+     * @param requestLog gets a line for each request but releases; called by several threads
+     */
+    DemoEngine(String name, Stage stage, ApiFormat format, Consumer<String> requestLog) throws IOException {
         this.name = name;
-        this.reads = reads;
+        this.stage = stage;
         this.format = format;
-        this.saw = saw;
-        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
-        server.setExecutor(Executors.newCachedThreadPool(task -> {
-            Thread thread = new Thread(task, name);
-            thread.setDaemon(true);
-            return thread;
-        }));
-        server.createContext("/", this::serve);
-        server.start();
+        this.requestLog = requestLog;
+        server = LoopbackServer.start(name, "/", this::serve);
     }
 
     /** Its entry in discovery's list. */
-    String listed() {
-        return DemoConfiguration.host(name, "127.0.0.1:" + server.getAddress().getPort(), reads ? "reader" : "writer");
+    String discoveryEntry() {
+        return DemoConfiguration.engineEntry(name, LoopbackServer.address(server), stage.kind);
     }
 
     private void serve(HttpExchange exchange) throws IOException {
@@ -50,26 +70,34 @@
             String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
             String path = exchange.getRequestURI().getPath();
             if (exchange.getRequestMethod().equals("DELETE")) {
-                exchange.sendResponseHeaders(204, -1);
+                exchange.sendResponseHeaders(STATUS_RELEASED, LoopbackServer.NO_BODY);
                 return;
             }
-            saw.accept(name + " (" + (reads ? "reads" : "writes") + ", " + format.key() + ") got " + path + " " + body);
+            requestLog.accept(name + " (" + stage.verb + ", " + format.key() + ") got " + path + " " + body);
             if (!path.equals(format.path())) {
-                exchange.sendResponseHeaders(404, -1);
-            } else if (reads) {
-                byte[] read = "{\"cached_tokens\":0}".getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(202, read.length);
-                exchange.getResponseBody().write(read);
+                exchange.sendResponseHeaders(STATUS_NOT_FOUND, LoopbackServer.NO_BODY);
+            } else if (stage == Stage.PREFILL) {
+                answerPrefill(exchange);
             } else {
-                exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
-                exchange.sendResponseHeaders(200, 0);
-                write(exchange.getResponseBody());
+                answerDecode(exchange);
             }
         }
     }
 
-    private void write(OutputStream out) throws IOException {
-        ReplyEncoder writer = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, null));
+    private static void answerPrefill(HttpExchange exchange) throws IOException {
+        byte[] answer = "{\"cached_tokens\":0}".getBytes(StandardCharsets.UTF_8);
+        exchange.sendResponseHeaders(STATUS_PREFILLED, answer.length);
+        exchange.getResponseBody().write(answer);
+    }
+
+    private void answerDecode(HttpExchange exchange) throws IOException {
+        exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
+        exchange.sendResponseHeaders(STATUS_OK, LoopbackServer.CHUNKED_BODY);
+        streamReply(exchange.getResponseBody());
+    }
+
+    private void streamReply(OutputStream out) throws IOException {
+        ReplyEncoder encoder = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, null));
         for (ReplyEvent event : List.of(
                 new ReplyEvent.Begin(name, name, 1),
                 new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
@@ -77,9 +105,9 @@
                 new ReplyEvent.Grow(0, 0, "on the second shelf.", null),
                 new ReplyEvent.Close(0, 0),
                 new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
-                new ReplyEvent.Usage(24, 0, 8, -1),
+                new ReplyEvent.Usage(PROMPT_TOKENS, 0, COMPLETION_TOKENS, -1),
                 new ReplyEvent.End())) {
-            out.write(writer.stream(event).getBytes(StandardCharsets.UTF_8));
+            out.write(encoder.stream(event).getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
     }
--- /dev/null
+++ b/src/main/java/dunlinladder/lifecycle/AppliedState.java
@@ -0,0 +1,78 @@
+package dunlinladder.lifecycle;
+
+import dunlinladder.transport.json.InvalidInputException;
+import dunlinladder.transport.json.JsonObject;
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/**
+ * A state of the chat configuration as files hold it: the applied state, and a saved plan, which names the state that
+ * it was made for. Both are one JSON object with a number and the flat settings.
+ *
+ * @param serial number of the state, which each apply raises by 1; 0 before the first
+ * @param settings the settings of the state, or those that a plan leads to
+ */
+record AppliedState(long serial, FlatSettings settings) {
+
+    private static final String SERIAL_FIELD = "serial";
+    /** Of a saved plan: the serial of the state that it was made for. */
+    private static final String BASE_FIELD = "base";
+
+    private static final String SETTINGS_FIELD = "settings";
+
+    /** Reads the applied state; an absent file is the state before the first apply. */
+    static AppliedState read(Path file) throws IOException {
+        return Files.exists(file) ? read(file, SERIAL_FIELD) : new AppliedState(0, FlatSettings.empty());
+    }
+
+    /** Reads a saved plan. */
+    static AppliedState readPlan(Path file) throws IOException {
+        return read(file, BASE_FIELD);
+    }
+
+    private static AppliedState read(Path file, String serialField) throws IOException {
+        try {
+            JsonObject json = JsonObject.parse(Files.readString(file));
+            JsonObject settings = json.child(SETTINGS_FIELD);
+            SortedMap<String, String> values = new TreeMap<>();
+            settings.fields().keySet().forEach(key -> values.put(key, settings.text(key)));
+            return new AppliedState(json.integer(serialField), FlatSettings.of(values));
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
+        }
+    }
+
+    /** Writes this as the applied state. */
+    void write(Path file) throws IOException {
+        write(file, SERIAL_FIELD);
+    }
+
+    /** Writes this as a saved plan. */
+    void writePlan(Path file) throws IOException {
+        write(file, BASE_FIELD);
+    }
+
+    /** Replaces the file in one step, so that a crash leaves the old one. */
+    private void write(Path file, String serialField) throws IOException {
+        String text = JsonObject.write(Map.of(serialField, serial, SETTINGS_FIELD, settings.values())) + "\n";
+        Path temporary = Files.createTempFile(
+                file.toAbsolutePath().getParent(), file.getFileName().toString(), ".part");
+        try {
+            try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
+                channel.write(StandardCharsets.UTF_8.encode(text));
+                channel.force(true);
+            }
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        } finally {
+            Files.deleteIfExists(temporary);
+        }
+    }
+}
--- a/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -5,170 +5,104 @@
 import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.chat.ChatSettings;
 import dunlinladder.transport.json.InvalidInputException;
-import dunlinladder.transport.json.JsonObject;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.SortedMap;
 import java.util.TreeMap;
-import java.util.regex.Pattern;
+import java.util.stream.IntStream;
 
-/**
- * The operator's file for the chat front: read, checked, and turned into what the front wants. Its settings are kept
- * flat, as {@code models.NAME.class}, so that two of them compare line by line.
- */
+/** Reads the operator's file for the chat front, and turns applied settings into what the front needs. */
 final class ChatConfigReader {
 
-    private static final Pattern ENVIRONMENT = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
-    private static final int MOST_TOKENS = 800;
+    /** What the keys of deadlines start with; the name of a service class follows. */
+    static final String DEADLINES = "deadlines.";
+
+    /** Tokens of an answer where neither the client nor the model's settings bound it. */
+    private static final String DEFAULT_MAX_TOKENS = "800";
+
+    private static final String DEFAULT_UNKNOWN_FIELDS = "pass";
 
     private ChatConfigReader() {}
 
-    /** Reads the file's text; an error names the faulty key. */
-    static SortedMap<String, String> read(String toml) {
-        SortedMap<String, String> flat = new TreeMap<>();
-        flatten("", JsonObject.parseToml(toml).fields(), flat);
-        check(flat);
-        return flat;
+    /**
+     * Reads and checks the file's text.
+     *
+     * @throws InvalidInputException that names the faulty key
+     */
+    static FlatSettings read(String toml) {
+        FlatSettings settings = FlatSettings.parseToml(toml);
+        ChatConfigChecks.check(settings);
+        return settings;
     }
 
-    private static void flatten(String prefix, Map<?, ?> fields, Map<String, String> flat) {
-        fields.forEach((name, value) -> {
-            if (value instanceof Map<?, ?> map) {
-                flatten(prefix + name + ".", map, flat);
-            } else {
-                flat.put(prefix + name, String.valueOf(value));
-            }
-        });
+    /**
+     * The front that applied settings describe.
+     *
+     * @param environment holds the clients' secret keys, under the names that the settings give
+     * @throws InvalidInputException that names the faulty key
+     */
+    static ChatFrontConfig chatFront(FlatSettings settings, GatewayConfig config, Map<String, String> environment) {
+        ChatConfigChecks.check(settings);
+        ChatConfigChecks.check(settings, config.names());
+        List<Generation> generations = MigrationConfigReader.readGenerations(settings, config.names());
+        ChatSettings chat = new ChatSettings(
+                tenantsBySecret(settings, config.names().tenants(), environment),
+                models(settings, config.names().classes()),
+                deadlines(settings, config),
+                unsafeClasses(config.routing()),
+                generations,
+                MigrationConfigReader.readPlan(settings, generations).orElse(null),
+                unknownFields(settings));
+        return new ChatFrontConfig(
+                GatewayConfigReader.parseAddress(settings.text("listen").orElse(null), "listen"), chat);
     }
 
-    /** Checks what can be checked without the deployment's settings. */
-    static void check(Map<String, String> flat) {
-        GatewayConfigReader.parseAddress(flat.get("listen"), "listen");
-        if (names(flat, "keys").isEmpty() || names(flat, "models").isEmpty()) {
-            throw new InvalidInputException("keys and models must each name at least one");
-        }
-        flat.forEach((key, value) -> {
-            String[] parts = key.split("\\.");
-            String last = parts[parts.length - 1];
-            if (key.startsWith("deadlines.") && parts.length == 2) {
-                number(key, value);
-            } else if (key.startsWith("keys.") && parts.length == 3 && last.equals("tenant")) {
-                if (!ENVIRONMENT.matcher(parts[1]).matches()) {
-                    throw new InvalidInputException(
-                            key + ": " + parts[1] + " is not the name of an environment variable");
-                }
-            } else if (key.startsWith("models.") && last.equals("max_tokens")) {
-                if (number(key, value) != Math.rint(number(key, value))) {
-                    throw new InvalidInputException(key + " must be a whole number, not " + value);
-                }
-            } else if (key.equals("unknown_fields")) {
-                if (!value.matches("pass|drop|refuse")) {
-                    throw new InvalidInputException(key + " must be pass, drop or refuse, not " + value);
-                }
-            } else if (!MigrationConfigReader.knows(key)
-                    && !key.equals("listen")
-                    && !(key.startsWith("models.") && last.equals("class"))) {
-                throw new InvalidInputException("unknown key " + key);
-            }
-        });
-        MigrationConfigReader.move(flat, MigrationConfigReader.read(flat, null, null));
-        for (String model : names(flat, "models")) {
-            if (!flat.containsKey("models." + model + ".class")) {
-                throw new InvalidInputException("models." + model + ".class is missing");
+    /** The number of each client's tenant by the client's secret; 0 in a deployment without tenants. */
+    private static Map<String, Integer> tenantsBySecret(
+            FlatSettings settings, List<String> tenants, Map<String, String> environment) {
+        Map<String, Integer> tenantsBySecret = new TreeMap<>();
+        for (String variable : settings.namesUnder("keys")) {
+            String secret = environment.getOrDefault(variable, "");
+            String tenant = settings.requiredText("keys." + variable + ".tenant");
+            int index = Math.max(0, tenants.indexOf(tenant));
+            if (secret.isBlank() || tenantsBySecret.put(secret, index) != null) {
+                throw new InvalidInputException("keys." + variable + ": the environment variable " + variable
+                        + " is not set, or holds the same key as another");
             }
         }
+        return tenantsBySecret;
     }
 
-    private static double number(String key, String value) {
-        try {
-            if (Double.parseDouble(value) > 0) {
-                return Double.parseDouble(value);
-            }
-        } catch (NumberFormatException e) {
-            // Said below.
+    private static Map<String, ChatSettings.Model> models(FlatSettings settings, List<String> classes) {
+        Map<String, ChatSettings.Model> models = new TreeMap<>();
+        for (String model : settings.namesUnder("models")) {
+            String prefix = "models." + model + ".";
+            String maxTokens = settings.text(prefix + "max_tokens").orElse(DEFAULT_MAX_TOKENS);
+            models.put(model, new ChatSettings.Model(classes.indexOf(settings.requiredText(prefix + "class")), (int)
+                    Double.parseDouble(maxTokens)));
         }
-        throw new InvalidInputException(key + " must be a number over 0, not " + value);
+        return models;
     }
 
-    /** The names under a heading; a model's own name may hold dots. */
-    private static List<String> names(Map<String, String> flat, String heading) {
-        return flat.keySet().stream()
-                .filter(k -> k.startsWith(heading + ".") && k.lastIndexOf('.') > heading.length())
-                .map(k -> k.substring(heading.length() + 1, k.lastIndexOf('.')))
-                .distinct()
+    /** Seconds by service class: the chat front's own, else the platform's. */
+    private static List<Double> deadlines(FlatSettings settings, GatewayConfig config) {
+        List<String> classes = config.names().classes();
+        return IntStream.range(0, classes.size())
+                .mapToObj(index -> settings.text(DEADLINES + classes.get(index))
+                        .map(Double::valueOf)
+                        .orElse(config.deadlines().get(index)))
                 .toList();
     }
 
-    /** Checks names against the deployment's classes and tenants. */
-    static void check(Map<String, String> flat, GatewayConfig config) {
-        MigrationConfigReader.read(flat, config.names().kinds(), config.names().zones());
-        flat.forEach((key, value) -> {
-            if (key.startsWith("deadlines.")) {
-                index(config.names().classes(), key.substring(10), key, "class");
-            } else if (key.startsWith("keys.") && !config.names().tenants().isEmpty()) {
-                index(config.names().tenants(), value, key, "tenant");
-            } else if (key.startsWith("models.") && key.endsWith(".class")) {
-                index(config.names().classes(), value, key, "class");
-            }
-        });
-    }
-
-    private static int index(List<String> names, String name, String key, String what) {
-        int index = names.indexOf(name);
-        if (index < 0) {
-            throw new InvalidInputException(key + ": no " + what + " is named " + name + "; there are " + names);
-        }
-        return index;
+    /** By service class, whether a request must never run twice. */
+    private static List<Boolean> unsafeClasses(RoutingSettings routing) {
+        return routing.classes().stream()
+                .map(serviceClass -> serviceClass.effect() == RoutingSettings.Effect.UNSAFE)
+                .toList();
     }
 
-    /** The front that applied settings describe; secrets come from the environment. */
-    static ChatFrontConfig chat(Map<String, String> flat, GatewayConfig config, Map<String, String> environment) {
-        check(flat);
-        check(flat, config);
-        Map<String, Integer> tenants = new TreeMap<>();
-        for (String variable : names(flat, "keys")) {
-            String secret = environment.getOrDefault(variable, "");
-            if (secret.isBlank()
-                    || tenants.put(
-                                    secret,
-                                    Math.max(
-                                            0,
-                                            config.names().tenants().indexOf(flat.get("keys." + variable + ".tenant"))))
-                            != null) {
-                throw new InvalidInputException("keys." + variable + ": the environment variable " + variable
-                        + " is not set, or holds the same key as another");
-            }
-        }
-        Map<String, ChatSettings.Model> models = new TreeMap<>();
-        for (String model : names(flat, "models")) {
-            models.put(
-                    model,
-                    new ChatSettings.Model(
-                            config.names().classes().indexOf(flat.get("models." + model + ".class")),
-                            (int) Double.parseDouble(flat.getOrDefault(
-                                    "models." + model + ".max_tokens", String.valueOf(MOST_TOKENS)))));
-        }
-        List<Double> deadlines = new ArrayList<>();
-        for (int i = 0; i < config.names().classes().size(); i++) {
-            String own = flat.get("deadlines." + config.names().classes().get(i));
-            deadlines.add(own == null ? config.deadlines().get(i) : Double.valueOf(own));
-        }
-        List<Generation> generations = MigrationConfigReader.read(
-                flat, config.names().kinds(), config.names().zones());
-        return new ChatFrontConfig(
-                GatewayConfigReader.parseAddress(flat.get("listen"), "listen"),
-                new ChatSettings(
-                        tenants,
-                        models,
-                        deadlines,
-                        config.routing().classes().stream()
-                                .map(c -> c.effect() == RoutingSettings.Effect.UNSAFE)
-                                .toList(),
-                        generations,
-                        MigrationConfigReader.move(flat, generations),
-                        RequestTranslator.Unknown.valueOf(
-                                flat.getOrDefault("unknown_fields", "pass").toUpperCase(Locale.ROOT))));
+    private static RequestTranslator.Unknown unknownFields(FlatSettings settings) {
+        String policy = settings.text("unknown_fields").orElse(DEFAULT_UNKNOWN_FIELDS);
+        return RequestTranslator.Unknown.valueOf(policy.toUpperCase(Locale.ROOT));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/DemoConfiguration.java
+++ b/src/main/java/dunlinladder/lifecycle/DemoConfiguration.java
@@ -1,14 +1,22 @@
 package dunlinladder.lifecycle;
 
-/** A small deployment for the program's own stand-ins. */
+/** A small deployment for the program's own stand-ins: the warm-up, the demonstration, tests. */
 public final class DemoConfiguration {
 
     /** The one tenant. */
     public static final String TENANT = "tenant-a";
+    /** A class of requests that may run again at any time. */
+    public static final String REPEATABLE_CLASS = "repeatable";
+    /** A class of requests that must not run twice. */
+    public static final String ONCE_CLASS = "once";
+    /** The kind of the prefill engines. */
+    public static final String PREFILL_KIND = "reader";
+    /** The kind of the decode engines. */
+    public static final String DECODE_KIND = "writer";
 
     /**
-     * The settings of a configuration: one hall, readers, writers and mixed engines, a class that may be repeated and
-     * one that must not.
+     * The settings of a configuration, as JSON: one zone, prefill, decode and mixed engines, a class that may be
+     * repeated and one that must not.
      */
     public static final String SETTINGS = """
             {"balancers":1,"caps":{"connect-timeout":5,"keepalive":30.0,"max-attempts":4},"classes":[
@@ -24,10 +32,24 @@
 
     private DemoConfiguration() {}
 
-    /** An engine's entry in discovery's list; {@code kind} is reader, writer or mixed. */
-    public static String host(String name, String address, String kind) {
+    /**
+     * An engine's entry in discovery's list, as JSON.
+     *
+     * @param address host and port
+     * @param kind {@link #PREFILL_KIND}, {@link #DECODE_KIND} or {@code mixed}
+     */
+    public static String engineEntry(String name, String address, String kind) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address
                 + "\",\"site\":\"hall\",\"class\":\"" + kind
                 + "\",\"block\":1,\"health\":\"active\",\"share\":1.0,\"born_ms\":0}";
     }
+
+    /**
+     * Discovery's list of all engines, as one line of JSON.
+     *
+     * @param entries made by {@link #engineEntry}
+     */
+    public static String engineList(Iterable<String> entries) {
+        return "{\"seq\":1,\"whole\":true,\"hosts\":[" + String.join(",", entries) + "]}\n";
+    }
 }
--- a/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
+++ b/src/main/java/dunlinladder/lifecycle/JvmWarmup.java
@@ -10,19 +10,30 @@
 import java.net.InetSocketAddress;
 import java.net.URL;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.Executors;
 
 /**
- * Goes once through what a gateway does for each request, against stand-ins in the same process, so that the build can
- * keep the classes that takes in an archive: a gateway that starts on a part of a core has loaded them at once.
+ * Goes through what a gateway does for each request, against stand-ins in the same process, so that the build can keep
+ * the classes that takes in an archive (see {@code deploy/archive.sh}): a gateway that starts on a part of a core then
+ * has them at once.
  */
 public final class JvmWarmup {
 
     private static final int ROUNDS = 40;
+    private static final int SESSIONS = 5;
+    private static final int BACKLOG = 50;
+    private static final int STATUS_OK = 200;
+    /** A prefill engine's answer: the KV cache waits to be fetched. */
+    private static final int STATUS_PREFILLED = 202;
+    /** Length of an answer that is sent in chunks, as the stand-ins' server has it. */
+    private static final long CHUNKED = 0;
 
-    private static final String ANSWER = """
+    private static final String COMPLETIONS_PATH = "/v1/chat/completions";
+    private static final String PREFILL_ANSWER = "{\"cached_tokens\":4}";
+    private static final String DECODE_ANSWER = """
             data: {"choices":[{"index":0,"delta":{"content":"a"},"finish_reason":"stop"}]}
 
             data: {"choices":[],"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}}}
@@ -35,44 +46,43 @@
 
     private JvmWarmup() {}
 
-    /** Runs the rounds and exits with 0; with 1 where most of them were not served. */
+    /** Runs the rounds and exits with 0; with 1 where no more than half of them were served. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        HttpServer reader = server("{\"cached_tokens\":4}", 202);
-        HttpServer writer = server(ANSWER, 200);
-        String at = "127.0.0.1:" + reader.getAddress().getPort();
-        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + DemoConfiguration.host("reader", at, "reader") + ","
-                + DemoConfiguration.host(
-                        "writer", "127.0.0.1:" + writer.getAddress().getPort(), "writer") + "]}\n";
-        reader.createContext("/discovery/hosts", exchange -> {
-            exchange.sendResponseHeaders(200, 0);
-            exchange.getResponseBody().write(list.getBytes(StandardCharsets.UTF_8));
-            exchange.getResponseBody().flush();
-        });
-        Gateway gateway = new Gateway(
-                GatewayConfigReader.read(
-                        JsonObject.parse("{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\","
-                                + "\"discovery\":\"" + at + "\",\"settings\":"
-                                + DemoConfiguration.SETTINGS.replace("\n", "")
-                                + ",\"known\":"
-                                + list.trim() + "}"),
-                        Map.of()),
-                Optional.empty());
+        HttpServer prefillEngine = startEngine(PREFILL_ANSWER, STATUS_PREFILLED);
+        HttpServer decodeEngine = startEngine(DECODE_ANSWER, STATUS_OK);
+        String engines = DemoConfiguration.engineList(List.of(
+                DemoConfiguration.engineEntry("reader", address(prefillEngine), DemoConfiguration.PREFILL_KIND),
+                DemoConfiguration.engineEntry("writer", address(decodeEngine), DemoConfiguration.DECODE_KIND)));
+        serveDiscovery(prefillEngine, engines);
+        Gateway gateway = new Gateway(configuration(address(prefillEngine), engines), Optional.empty());
         int port = gateway.start();
         int served = 0;
-        for (int i = 0; i < ROUNDS; i++) {
-            served += ask(port, i) ? 1 : 0;
+        for (int round = 0; round < ROUNDS; round++) {
+            if (isServed(port, round)) {
+                served++;
+            }
         }
         System.exit(served > ROUNDS / 2 ? 0 : 1);
     }
 
-    private static HttpServer server(String answer, int status) throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
+    private static GatewayConfig configuration(String discovery, String engines) {
+        String json = "{\"name\":\"warm\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery + "\",\"settings\":"
+                + DemoConfiguration.SETTINGS.replace("\n", "") + ",\"known\":" + engines.trim() + "}";
+        return GatewayConfigReader.read(JsonObject.parse(json), Map.of());
+    }
+
+    private static String address(HttpServer server) {
+        return "127.0.0.1:" + server.getAddress().getPort();
+    }
+
+    private static HttpServer startEngine(String answer, int status) throws IOException {
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.setExecutor(Executors.newCachedThreadPool());
         byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
-        server.createContext("/v1/chat/completions", exchange -> {
+        server.createContext(COMPLETIONS_PATH, exchange -> {
             try (exchange) {
                 exchange.getRequestBody().readAllBytes();
-                exchange.sendResponseHeaders(status, status == 200 ? 0 : bytes.length);
+                exchange.sendResponseHeaders(status, status == STATUS_OK ? CHUNKED : bytes.length);
                 exchange.getResponseBody().write(bytes);
             }
         });
@@ -80,34 +90,49 @@
         return server;
     }
 
-    private static boolean ask(int port, int round) throws IOException {
+    /** Adds discovery to a server: it tells the list and leaves the watch open. */
+    private static void serveDiscovery(HttpServer server, String engines) {
+        server.createContext("/discovery/hosts", exchange -> {
+            exchange.sendResponseHeaders(STATUS_OK, CHUNKED);
+            exchange.getResponseBody().write(engines.getBytes(StandardCharsets.UTF_8));
+            exchange.getResponseBody().flush();
+        });
+    }
+
+    /** Sends one request to the gateway and reads its answer. */
+    private static boolean isServed(int port, int round) throws IOException {
         HttpURLConnection connection =
-                (HttpURLConnection) new URL("http://127.0.0.1:" + port + "/v1/chat/completions").openConnection();
+                (HttpURLConnection) new URL("http://127.0.0.1:" + port + COMPLETIONS_PATH).openConnection();
         connection.setRequestMethod("POST");
         connection.setDoOutput(true);
-        Map.of(
-                        "X-Request-ID",
-                        "warm-" + round,
-                        "X-Priority-Class",
-                        round % 2 == 0 ? "repeatable" : "once",
-                        "X-Tenant-Id",
-                        DemoConfiguration.TENANT,
-                        "X-Route-Key",
-                        "k" + round % 5,
-                        "X-Timeout",
-                        "4.0",
-                        "X-Attrs",
-                        "prefix=5c0f,prompt_len=120,prefix_len=20,max_out=80")
-                .forEach(connection::setRequestProperty);
+        headers(round).forEach(connection::setRequestProperty);
         try (OutputStream body = connection.getOutputStream()) {
             body.write("{}".getBytes(StandardCharsets.UTF_8));
         }
-        boolean ok = connection.getResponseCode() == 200;
-        try (InputStream answer = ok ? connection.getInputStream() : connection.getErrorStream()) {
+        boolean served = connection.getResponseCode() == STATUS_OK;
+        try (InputStream answer = served ? connection.getInputStream() : connection.getErrorStream()) {
             if (answer != null) {
                 answer.readAllBytes();
             }
         }
-        return ok;
+        return served;
+    }
+
+    /** Both classes and a few sessions in turn. */
+    private static Map<String, String> headers(int round) {
+        boolean repeatable = round % 2 == 0;
+        return Map.of(
+                "X-Request-ID",
+                "warm-" + round,
+                "X-Priority-Class",
+                repeatable ? DemoConfiguration.REPEATABLE_CLASS : DemoConfiguration.ONCE_CLASS,
+                "X-Tenant-Id",
+                DemoConfiguration.TENANT,
+                "X-Route-Key",
+                "k" + round % SESSIONS,
+                "X-Timeout",
+                "4.0",
+                "X-Attrs",
+                "prefix=5c0f,prompt_len=120,prefix_len=20,max_out=80");
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Main.java
+++ b/src/main/java/dunlinladder/lifecycle/Main.java
@@ -102,7 +102,7 @@
         if (!Files.exists(state)) {
             return Optional.empty();
         }
-        return Optional.of(ChatConfigReader.chat(PlanCommands.applied(state).settings(), config, environment));
+        return Optional.of(ChatConfigReader.chatFront(AppliedState.read(state).settings(), config, environment));
     }
 
     /** Runs as the JVM's shutdown hook; ends the process with 0 when the gateway stopped in order, else with 1. */
--- a/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
@@ -10,155 +10,204 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import java.util.regex.PatternSyntaxException;
 
-/** The part of the operator's file that says which engines speak which format, and how the fleet moves. */
+/**
+ * Reads the part of the chat configuration that says which engines speak which format, and how the fleet migrates from
+ * one to another. Each fault is an {@link InvalidInputException} that names its key.
+ */
 final class MigrationConfigReader {
 
-    private static final Pattern GENERATION = Pattern.compile("generations\\.[^.]+\\.(format|kinds|halls|ids|order)");
-    private static final Pattern MOVE = Pattern.compile("move\\.(from|to|ramp_seconds"
+    private static final Pattern GENERATION_KEY =
+            Pattern.compile("generations\\.[^.]+\\.(format|kinds|halls|ids|order)");
+    private static final Pattern PLAN_KEY = Pattern.compile("move\\.(from|to|ramp_seconds"
             + "|stages\\.[1-9][0-9]?\\.(engines|shops|hold_seconds)"
             + "|stop\\.(failed|untranslatable|delay|least|then))");
 
+    private static final String GENERATIONS = "generations.";
+    private static final String PLAN = "move.";
+    private static final String STAGES = "move.stages.";
+    /** The name of the generation of all engines, where the file has none. */
+    private static final String DEFAULT_GENERATION = "all";
+
+    private static final double MAX_ORDER = 1000;
+
+    private static final double MIN_SECONDS = 0.001;
+    private static final double DEFAULT_HOLD_SECONDS = 60;
+    private static final double MAX_HOLD_SECONDS = 1e7;
+    private static final double DEFAULT_RAMP_SECONDS = 10;
+    private static final double MAX_RAMP_SECONDS = 1e6;
+
+    private static final double DEFAULT_FAILED_FRACTION = 0.02;
+    private static final double DEFAULT_UNTRANSLATABLE_FRACTION = 0.05;
+    /** Times the old generation's median time to the first token. */
+    private static final double DEFAULT_DELAY_FACTOR = 2;
+
+    private static final double MAX_DELAY_FACTOR = 1000;
+    private static final double DEFAULT_MIN_ANSWERS = 50;
+    private static final double MAX_MIN_ANSWERS = 1e6;
+    /** What a plan that stops does: goes back a stage, or stays where it is. */
+    private static final String BACK = "back";
+
+    private static final String STOP = "stop";
+
     private MigrationConfigReader() {}
 
     /** Whether a key is one of this part's. */
     static boolean knows(String key) {
-        return GENERATION.matcher(key).matches() || MOVE.matcher(key).matches();
+        return GENERATION_KEY.matcher(key).matches() || PLAN_KEY.matcher(key).matches();
     }
 
-    /** Whether the file has a move. */
-    private static boolean moves(Map<String, String> flat) {
-        return flat.keySet().stream().anyMatch(key -> key.startsWith("move."));
+    /**
+     * The generations in the order in which engines are matched; one for all engines where none is given. Names of
+     * kinds and zones are not checked, and stand for no particular one.
+     */
+    static List<Generation> readGenerations(FlatSettings settings) {
+        return readGenerations(settings, Optional.empty());
     }
 
     /** The generations in the order in which engines are matched; one for all engines where none is given. */
-    static List<Generation> read(Map<String, String> flat, List<String> kinds, List<String> zones) {
+    static List<Generation> readGenerations(FlatSettings settings, GatewayConfig.DeploymentNames names) {
+        return readGenerations(settings, Optional.of(names));
+    }
+
+    private static List<Generation> readGenerations(
+            FlatSettings settings, Optional<GatewayConfig.DeploymentNames> names) {
         Map<String, Integer> orders = new TreeMap<>();
         List<Generation> generations = new ArrayList<>();
-        for (String name : flat.keySet().stream()
-                .filter(k -> k.startsWith("generations."))
-                .map(k -> k.split("\\.")[1])
-                .distinct()
-                .toList()) {
-            String at = "generations." + name + ".";
-            ApiFormat format = ApiFormat.of(flat.getOrDefault(at + "format", ""))
-                    .orElseThrow(() -> new InvalidInputException(at + "format must be one of "
-                            + Arrays.stream(ApiFormat.values())
-                                    .map(ApiFormat::key)
-                                    .toList() + ", not "
-                            + flat.get(at + "format")));
-            orders.put(name, (int) number(flat, at + "order", 0, 0, 1000));
+        for (String name : settings.partsUnder(GENERATIONS, 1)) {
+            String prefix = GENERATIONS + name + ".";
+            ApiFormat format = format(settings, prefix + "format");
+            orders.put(name, (int) settings.number(prefix + "order", 0, 0, MAX_ORDER));
             generations.add(new Generation(
                     name,
                     format,
-                    indexes(flat, at + "kinds", kinds),
-                    indexes(flat, at + "halls", zones),
-                    pattern(flat, at + "ids")));
+                    indexes(settings, prefix + "kinds", names.map(GatewayConfig.DeploymentNames::kinds)),
+                    indexes(settings, prefix + "halls", names.map(GatewayConfig.DeploymentNames::zones)),
+                    pattern(settings, prefix + "ids").orElse(null)));
         }
-        generations.sort(
-                Comparator.comparing((Generation g) -> orders.get(g.name())).thenComparing(Generation::name));
+        generations.sort(Comparator.comparing((Generation generation) -> orders.get(generation.name()))
+                .thenComparing(Generation::name));
         return generations.isEmpty()
-                ? List.of(new Generation("all", ApiFormat.CHAT, Set.of(), Set.of(), null))
+                ? List.of(new Generation(DEFAULT_GENERATION, ApiFormat.CHAT, Set.of(), Set.of(), null))
                 : generations;
     }
 
-    /** The move, null where the file has none. */
-    static MigrationPlan move(Map<String, String> flat, List<Generation> generations) {
-        if (!moves(flat)) {
-            return null;
+    private static ApiFormat format(FlatSettings settings, String key) {
+        Optional<String> name = settings.text(key);
+        return ApiFormat.of(name.orElse(""))
+                .orElseThrow(() -> new InvalidInputException(key + " must be one of "
+                        + Arrays.stream(ApiFormat.values()).map(ApiFormat::key).toList() + ", not "
+                        + name.orElse(null)));
+    }
+
+    /**
+     * The positions of the names that a list, in its flat form, holds.
+     *
+     * @param known the deployment's names; where empty, nothing is checked and all positions are 0
+     */
+    private static Set<Integer> indexes(FlatSettings settings, String key, Optional<List<String>> known) {
+        Optional<String> text = settings.text(key);
+        Set<Integer> indexes = new HashSet<>();
+        if (text.isEmpty()) {
+            return indexes;
         }
-        String from = generation(flat, "move.from", generations);
-        String to = generation(flat, "move.to", generations);
-        if (from.equals(to)) {
-            throw new InvalidInputException("move.to must not be the generation that move.from names");
+        for (String name : listItems(key, text.get())) {
+            int index = known.map(names -> names.indexOf(name)).orElse(0);
+            if (index < 0) {
+                throw new InvalidInputException(key + ": none is named " + name + "; there are " + known.orElseThrow());
+            }
+            indexes.add(index);
         }
-        List<MigrationPlan.Stage> stages = new ArrayList<>();
-        for (int i = 1; flat.containsKey("move.stages." + i + ".engines"); i++) {
-            String at = "move.stages." + i + ".";
-            stages.add(new MigrationPlan.Stage(
-                    number(flat, at + "engines", Double.NaN, 0, 1),
-                    number(flat, at + "shops", 1, 0, 1),
-                    number(flat, at + "hold_seconds", 60, 0.001, 1e7)));
+        return indexes;
+    }
+
+    private static List<String> listItems(String key, String text) {
+        if (!text.startsWith("[") || !text.endsWith("]")) {
+            throw new InvalidInputException(key + " must be a list of names, not " + text);
         }
-        long named = flat.keySet().stream()
-                .filter(k -> k.startsWith("move.stages."))
-                .map(k -> k.split("\\.")[2])
-                .distinct()
-                .count();
-        if (named != stages.size()) {
-            throw new InvalidInputException("move.stages must be numbered from 1 on, each with engines");
+        return Arrays.stream(text.substring(1, text.length() - 1).split(","))
+                .map(String::trim)
+                .toList();
+    }
+
+    private static Optional<Pattern> pattern(FlatSettings settings, String key) {
+        try {
+            return settings.text(key).map(Pattern::compile);
+        } catch (PatternSyntaxException e) {
+            throw new InvalidInputException(key + " is not a pattern: " + e.getDescription());
         }
-        String then = flat.getOrDefault("move.stop.then", "back");
-        if (!then.equals("back") && !then.equals("stop")) {
-            throw new InvalidInputException("move.stop.then must be back or stop, not " + then);
+    }
+
+    /** The plan of a migration; empty where the file has none. */
+    static Optional<MigrationPlan> readPlan(FlatSettings settings, List<Generation> generations) {
+        if (!settings.hasKeysUnder(PLAN)) {
+            return Optional.empty();
+        }
+        String from = generation(settings, "move.from", generations);
+        String to = generation(settings, "move.to", generations);
+        if (from.equals(to)) {
+            throw new InvalidInputException("move.to must not be the generation that move.from names");
         }
+        List<MigrationPlan.Stage> stages = stages(settings);
+        String then = stopAction(settings);
         try {
-            return new MigrationPlan(
+            return Optional.of(new MigrationPlan(
                     from,
                     to,
                     stages,
-                    new MigrationPlan.Stop(
-                            number(flat, "move.stop.failed", 0.02, 0, 1),
-                            number(flat, "move.stop.untranslatable", 0.05, 0, 1),
-                            number(flat, "move.stop.delay", 2, 1, 1000),
-                            (int) number(flat, "move.stop.least", 50, 1, 1e6),
-                            then.equals("back")),
-                    number(flat, "move.ramp_seconds", 10, 0.001, 1e6));
+                    stop(settings, then),
+                    settings.number("move.ramp_seconds", DEFAULT_RAMP_SECONDS, MIN_SECONDS, MAX_RAMP_SECONDS)));
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException("move.stages: " + e.getMessage());
         }
     }
 
-    private static String generation(Map<String, String> flat, String key, List<Generation> generations) {
-        String name = flat.get(key);
-        if (name == null || generations.stream().noneMatch(g -> g.name().equals(name))) {
-            throw new InvalidInputException(key + (name == null ? " is missing" : ": no generation is named " + name));
+    private static String generation(FlatSettings settings, String key, List<Generation> generations) {
+        String name = settings.requiredText(key);
+        if (generations.stream().noneMatch(generation -> generation.name().equals(name))) {
+            throw new InvalidInputException(key + ": no generation is named " + name);
         }
         return name;
     }
 
-    private static double number(Map<String, String> flat, String key, double absent, double least, double most) {
-        String text = flat.get(key);
-        try {
-            double value = text == null ? absent : Double.parseDouble(text);
-            if (value >= least && value <= most) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // Said below.
+    private static List<MigrationPlan.Stage> stages(FlatSettings settings) {
+        List<MigrationPlan.Stage> stages = new ArrayList<>();
+        for (int number = 1; settings.text(stageKey(number, "engines")).isPresent(); number++) {
+            stages.add(new MigrationPlan.Stage(
+                    settings.number(stageKey(number, "engines"), Double.NaN, 0, 1),
+                    settings.number(stageKey(number, "shops"), 1, 0, 1),
+                    settings.number(
+                            stageKey(number, "hold_seconds"), DEFAULT_HOLD_SECONDS, MIN_SECONDS, MAX_HOLD_SECONDS)));
+        }
+        if (settings.partsUnder(STAGES, 2).size() != stages.size()) {
+            throw new InvalidInputException("move.stages must be numbered from 1 on, each with engines");
         }
-        throw new InvalidInputException(key + " must be a number from " + least + " to " + most + ", not " + text);
+        return stages;
     }
 
-    /** Names in a list, as the flat form has it; checked against the deployment's, where that is known. */
-    private static Set<Integer> indexes(Map<String, String> flat, String key, List<String> names) {
-        String text = flat.get(key);
-        Set<Integer> indexes = new HashSet<>();
-        if (text != null) {
-            if (!text.startsWith("[") || !text.endsWith("]")) {
-                throw new InvalidInputException(key + " must be a list of names, not " + text);
-            }
-            for (String name : text.substring(1, text.length() - 1).split(",")) {
-                int index = names == null ? 0 : names.indexOf(name.trim());
-                if (index < 0) {
-                    throw new InvalidInputException(key + ": none is named " + name.trim() + "; there are " + names);
-                }
-                indexes.add(index);
-            }
-        }
-        return indexes;
+    private static String stageKey(int number, String field) {
+        return STAGES + number + "." + field;
     }
 
-    private static Pattern pattern(Map<String, String> flat, String key) {
-        String text = flat.get(key);
-        try {
-            return text == null ? null : Pattern.compile(text);
-        } catch (PatternSyntaxException e) {
-            throw new InvalidInputException(key + " is not a pattern: " + e.getDescription());
+    private static String stopAction(FlatSettings settings) {
+        String then = settings.text("move.stop.then").orElse(BACK);
+        if (!then.equals(BACK) && !then.equals(STOP)) {
+            throw new InvalidInputException("move.stop.then must be back or stop, not " + then);
         }
+        return then;
+    }
+
+    private static MigrationPlan.Stop stop(FlatSettings settings, String then) {
+        return new MigrationPlan.Stop(
+                settings.number("move.stop.failed", DEFAULT_FAILED_FRACTION, 0, 1),
+                settings.number("move.stop.untranslatable", DEFAULT_UNTRANSLATABLE_FRACTION, 0, 1),
+                settings.number("move.stop.delay", DEFAULT_DELAY_FACTOR, 1, MAX_DELAY_FACTOR),
+                (int) settings.number("move.stop.least", DEFAULT_MIN_ANSWERS, 1, MAX_MIN_ANSWERS),
+                then.equals(BACK));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/PlanCommands.java
+++ b/src/main/java/dunlinladder/lifecycle/PlanCommands.java
@@ -1,112 +1,112 @@
 package dunlinladder.lifecycle;
 
 import dunlinladder.transport.json.InvalidInputException;
-import dunlinladder.transport.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.SortedMap;
-import java.util.TreeMap;
+import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** The operator's commands: what a file would change, and changing just that. */
+/** The operator's commands: {@code plan} shows what a file would change, {@code apply} changes just that. */
 final class PlanCommands {
 
+    /** Exit code of a plan without changes. */
     static final int NO_CHANGES = 0;
+    /** Exit code of a plan with changes. */
     static final int CHANGES = 2;
 
-    private final Path state;
+    private final Path stateFile;
     private final Map<String, String> environment;
     private final PrintStream out;
 
-    /** What was applied last; serial 0 before the first time. */
-    record Applied(long serial, SortedMap<String, String> settings) {}
-
-    PlanCommands(Path state, Map<String, String> environment, PrintStream out) {
-        this.state = state;
+    /**
+     * Creates the commands.
+     *
+     * @param stateFile the applied state; absent before the first apply
+     * @param environment where it names the gateway's configuration, names are checked against that
+     * @param out takes what is printed
+     */
+    PlanCommands(Path stateFile, Map<String, String> environment, PrintStream out) {
+        this.stateFile = stateFile;
         this.environment = environment;
         this.out = out;
     }
 
-    /** The applied state in a file; an absent one is empty. */
-    static Applied applied(Path file) throws IOException {
-        if (!Files.exists(file)) {
-            return new Applied(0, new TreeMap<>());
-        }
-        return read(file, "serial");
-    }
-
-    private static Applied read(Path file, String serial) throws IOException {
-        try {
-            JsonObject json = JsonObject.parse(Files.readString(file));
-            SortedMap<String, String> settings = new TreeMap<>();
-            JsonObject child = json.child("settings");
-            child.fields().keySet().forEach(key -> settings.put(key, child.text(key)));
-            return new Applied(json.integer(serial), settings);
-        } catch (InvalidInputException e) {
-            throw new InvalidInputException(file + ": " + e.getMessage());
-        }
-    }
-
-    /** Prints what a file would change, and saves it where asked to. */
+    /**
+     * Prints what a file would change.
+     *
+     * @param saveTo takes the plan, for a later {@link #apply}; empty where it is not to be saved
+     * @return the exit code: {@link #NO_CHANGES} or {@link #CHANGES}
+     * @throws InvalidInputException where the file has a fault; the message names the key
+     */
     int plan(Path file, Optional<Path> saveTo) throws IOException {
-        Applied now = applied(state);
-        SortedMap<String, String> wanted = wanted(file);
-        List<String> changes = changes(now.settings, wanted);
+        AppliedState current = AppliedState.read(stateFile);
+        FlatSettings wanted = readChecked(file);
+        List<String> changes = changes(current.settings(), wanted);
         changes.forEach(out::println);
         out.println(changes.isEmpty() ? "No changes." : changes.size() + " changes.");
         if (saveTo.isPresent()) {
-            write(saveTo.get(), JsonObject.write(Map.of("base", now.serial, "settings", wanted)));
+            new AppliedState(current.serial(), wanted).writePlan(saveTo.get());
         }
         return changes.isEmpty() ? NO_CHANGES : CHANGES;
     }
 
     /**
      * Applies a file, or a saved plan unless the state has changed since it was made. The state is replaced in one step
-     * and under a lock, so that two applies cannot mix and a crash leaves the old one.
+     * and under a lock on a file beside it, so that two applies cannot mix and a crash leaves the old state.
+     *
+     * @throws InvalidInputException where the file has a fault or the plan is stale; then nothing has changed
      */
     @SuppressWarnings("try") // The lock is held, not looked at.
     void apply(Path file) throws IOException {
-        boolean saved = Files.readString(file).stripLeading().startsWith("{");
-        if (state.toAbsolutePath().getParent() != null) {
-            Files.createDirectories(state.toAbsolutePath().getParent());
+        boolean isSavedPlan = Files.readString(file).stripLeading().startsWith("{");
+        Path folder = stateFile.toAbsolutePath().getParent();
+        if (folder != null) {
+            Files.createDirectories(folder);
         }
-        try (FileChannel channel = FileChannel.open(
-                        Path.of(state + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        Path lockFile = Path.of(stateFile + ".lock");
+        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
-            Applied now = applied(state);
-            Applied plan = saved ? read(file, "base") : new Applied(now.serial, wanted(file));
-            if (plan.serial != now.serial) {
-                throw new InvalidInputException(file + " is stale: it was made for state " + plan.serial + ", now is "
-                        + now.serial + "; plan again");
-            }
-            ChatConfigReader.check(plan.settings);
-            List<String> changes = changes(now.settings, plan.settings);
-            if (changes.isEmpty()) {
-                out.println("No changes.");
-                return;
-            }
-            write(state, JsonObject.write(Map.of("serial", now.serial + 1, "settings", plan.settings)));
-            changes.forEach(out::println);
-            out.println(changes.size() + " changes applied; state " + (now.serial + 1) + ".");
+            applyLocked(file, isSavedPlan);
         }
     }
 
-    private SortedMap<String, String> wanted(Path file) throws IOException {
+    private void applyLocked(Path file, boolean isSavedPlan) throws IOException {
+        AppliedState current = AppliedState.read(stateFile);
+        AppliedState plan =
+                isSavedPlan ? AppliedState.readPlan(file) : new AppliedState(current.serial(), readChecked(file));
+        if (plan.serial() != current.serial()) {
+            throw new InvalidInputException(file + " is stale: it was made for state " + plan.serial() + ", now is "
+                    + current.serial() + "; plan again");
+        }
+        ChatConfigChecks.check(plan.settings());
+        List<String> changes = changes(current.settings(), plan.settings());
+        if (changes.isEmpty()) {
+            out.println("No changes.");
+            return;
+        }
+        AppliedState next = new AppliedState(current.serial() + 1, plan.settings());
+        next.write(stateFile);
+        changes.forEach(out::println);
+        out.println(changes.size() + " changes applied; state " + next.serial() + ".");
+    }
+
+    /** Reads the operator's file with all checks that can be made here. */
+    private FlatSettings readChecked(Path file) throws IOException {
         try {
-            SortedMap<String, String> settings = ChatConfigReader.read(Files.readString(file));
+            FlatSettings settings = ChatConfigReader.read(Files.readString(file));
             if (environment.containsKey(GatewayConfigReader.CONFIG_VARIABLE)) {
-                ChatConfigReader.check(settings, GatewayConfigReader.read(environment));
+                ChatConfigChecks.check(
+                        settings, GatewayConfigReader.read(environment).names());
             }
             return settings;
         } catch (InvalidInputException e) {
@@ -114,35 +114,22 @@
         }
     }
 
-    private static List<String> changes(SortedMap<String, String> from, SortedMap<String, String> to) {
-        TreeSet<String> keys = new TreeSet<>(from.keySet());
-        keys.addAll(to.keySet());
+    /** One line for each key that differs, in the order of the keys. */
+    private static List<String> changes(FlatSettings from, FlatSettings to) {
+        SortedMap<String, String> before = from.values();
+        SortedMap<String, String> after = to.values();
+        SortedSet<String> keys = new TreeSet<>(before.keySet());
+        keys.addAll(after.keySet());
         List<String> changes = new ArrayList<>();
         for (String key : keys) {
-            String before = from.get(key);
-            String after = to.get(key);
-            if (before == null) {
-                changes.add("+ " + key + " = " + after);
-            } else if (after == null) {
-                changes.add("- " + key + " = " + before);
-            } else if (!before.equals(after)) {
-                changes.add("~ " + key + " = " + before + " -> " + after);
+            if (!before.containsKey(key)) {
+                changes.add("+ " + key + " = " + after.get(key));
+            } else if (!after.containsKey(key)) {
+                changes.add("- " + key + " = " + before.get(key));
+            } else if (!before.get(key).equals(after.get(key))) {
+                changes.add("~ " + key + " = " + before.get(key) + " -> " + after.get(key));
             }
         }
         return changes;
     }
-
-    private static void write(Path file, String text) throws IOException {
-        Path part = Files.createTempFile(
-                file.toAbsolutePath().getParent(), file.getFileName().toString(), ".part");
-        try {
-            try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
-                channel.write(StandardCharsets.UTF_8.encode(text + "\n"));
-                channel.force(true);
-            }
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        } finally {
-            Files.deleteIfExists(part);
-        }
-    }
 }
--- a/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
+++ b/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
@@ -6,12 +6,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes the tables into the folder of docs that its one argument names. */
+/** Writes the reference pages that are made of the tables which the program carries out; see {@code make docs}. */
 public final class ReferenceDocs {
 
     private ReferenceDocs() {}
 
-    /** Writes {@code fields.md} and {@code errors.md}. */
+    /**
+     * Writes {@code fields.md} and {@code errors.md}.
+     *
+     * @param args the folder that takes them, which is created where it is absent
+     */
     public static void main(String[] args) throws IOException {
         Path docs = Path.of(args[0]);
         Files.createDirectories(docs);
--- a/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void whatIsAbsentGetsADefaultAndWhatIsNotKnownIsLeftAside() throws IOException {
+    void absentFieldsGetDefaultsAndUnknownFieldsAreLeftAside() throws IOException {
         GatewayConfig config = read(FILE.replace("\"balancers\"", "\"later\":{\"x\":1},\"balancers\""));
         assertEquals(List.of(4.0, 10.0), config.deadlines());
         assertEquals(1, config.limits().retryAfterSeconds());
@@ -76,7 +76,7 @@
 
     /** The decisions see no name of a class, tenant, zone or kind: the same settings, and the same list. */
     @Test
-    void namesChangeNothingThatDecides() throws IOException {
+    void settingsAndEndpointsAreTheSameWhenTheNamesDiffer() throws IOException {
         String renamed = FILE.replace("[\"a\",\"b\"]", "[\"b\",\"\u4e16\"]")
                 .replace("\"site\":\"a\"", "\"site\":\"b\"")
                 .replace("\"one\"", "\"read\"")
@@ -145,7 +145,7 @@
                 "\"health\":\"active\"|\"health\":\"well\"|health",
                 "{\"listen\"|[{\"listen\"|not a JSON object"
             })
-    void whatIsWrongIsNamed(String part, String instead, String named) throws IOException {
+    void faultIsReportedWithItsKey(String part, String instead, String named) throws IOException {
         assertTrue(FILE.contains(part), part);
         String text = FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead == null ? "" : instead));
         InvalidInputException error =
@@ -178,7 +178,7 @@
 
     /** Whatever the names and however many, a gateway starts from the settings and says that it is up. */
     @Property(tries = 8)
-    void drawnSettingsServe(
+    void gatewayServesWhateverTheNamesAre(
             @ForAll("names") List<String> classes,
             @ForAll("names") List<String> tenants,
             @ForAll("names") List<String> zones,
--- a/src/test/java/dunlinladder/lifecycle/MigrationConfigReaderTest.java
+++ b/src/test/java/dunlinladder/lifecycle/MigrationConfigReaderTest.java
@@ -1,7 +1,6 @@
 package dunlinladder.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,6 +10,7 @@
 import dunlinladder.transport.json.InvalidInputException;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operator's file on generations and moves. */
+/** Reading of generations and migration plans from the operator's file. */
 class MigrationConfigReaderTest {
 
-    private static final String GOOD = """
+    private static final String COMPLETE_FILE = """
             listen = "127.0.0.1:0"
             unknown_fields = "drop"
             [keys.KEY]
@@ -51,10 +51,16 @@
             then = "stop"
             """;
 
+    /** A deployment of which only the kinds of engines and the zones matter. */
+    private static GatewayConfig.DeploymentNames names(List<String> kinds, List<String> zones) {
+        return new GatewayConfig.DeploymentNames(List.of(), List.of(), zones, kinds);
+    }
+
     @Test
-    void aGoodFileIsReadInFull() {
-        Map<String, String> flat = ChatConfigReader.read(GOOD);
-        List<Generation> generations = MigrationConfigReader.read(flat, List.of("prompt", "answer"), List.of("a", "b"));
+    void completeFileIsReadInFull() {
+        FlatSettings settings = ChatConfigReader.read(COMPLETE_FILE);
+        List<Generation> generations =
+                MigrationConfigReader.readGenerations(settings, names(List.of("prompt", "answer"), List.of("a", "b")));
         assertEquals(
                 List.of("old", "new"),
                 generations.stream().map(Generation::name).toList());
@@ -63,22 +69,23 @@
         assertEquals(Set.of(1), generations.get(1).zones());
         assertEquals("box-.*", generations.get(1).ids().pattern());
         assertEquals(
-                new MigrationPlan(
+                Optional.of(new MigrationPlan(
                         "old",
                         "new",
                         List.of(new MigrationPlan.Stage(0.1, 0.5, 30), new MigrationPlan.Stage(1, 1, 60)),
                         new MigrationPlan.Stop(0.1, 0.05, 2, 50, false),
-                        5),
-                MigrationConfigReader.move(flat, generations));
+                        5)),
+                MigrationConfigReader.readPlan(settings, generations));
     }
 
     @Test
-    void withoutGenerationsAllEnginesSpeakChat() {
-        List<Generation> generations = MigrationConfigReader.read(Map.of(), List.of(), List.of());
+    void allEnginesSpeakChatWhenTheFileHasNoGenerations() {
+        List<Generation> generations =
+                MigrationConfigReader.readGenerations(FlatSettings.empty(), names(List.of(), List.of()));
         assertEquals(
                 List.of(ApiFormat.CHAT),
                 generations.stream().map(Generation::format).toList());
-        assertNull(MigrationConfigReader.move(Map.of(), generations));
+        assertEquals(Optional.empty(), MigrationConfigReader.readPlan(FlatSettings.empty(), generations));
     }
 
     /** Each fault names its key; the first part of the file that fits is changed. */
@@ -105,21 +112,23 @@
                 "then = \"stop\" | then = \"wait\" | move.stop.then",
                 "unknown_fields = \"drop\" | unknown_fields = \"lose\" | unknown_fields"
             })
-    void faultsAreNamed(String part, String instead, String named) {
-        assertTrue(GOOD.contains(part), part);
+    void faultIsReportedWithItsKey(String part, String instead, String named) {
+        assertTrue(COMPLETE_FILE.contains(part), part);
         InvalidInputException error = assertThrows(
                 InvalidInputException.class,
-                () -> ChatConfigReader.read(GOOD.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead))));
+                () -> ChatConfigReader.read(
+                        COMPLETE_FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead))));
         assertTrue(error.getMessage().contains(named), error.getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"generations.new.kinds, [reader], reader", "generations.new.halls, [moon], moon"})
-    void namesAreCheckedAgainstTheDeployment(String key, String value, String named) {
+    void unknownNameIsReportedWithItsKeyWhenTheDeploymentIsKnown(String key, String value, String named) {
         InvalidInputException error = assertThrows(
                 InvalidInputException.class,
-                () -> MigrationConfigReader.read(
-                        Map.of("generations.new.format", "chat", key, value), List.of("prompt"), List.of("a")));
+                () -> MigrationConfigReader.readGenerations(
+                        FlatSettings.of(Map.of("generations.new.format", "chat", key, value)),
+                        names(List.of("prompt"), List.of("a"))));
         assertTrue(error.getMessage().contains(key) && error.getMessage().contains(named), error.getMessage());
     }
 }
--- a/src/test/java/dunlinladder/lifecycle/PlanCommandsTest.java
+++ b/src/test/java/dunlinladder/lifecycle/PlanCommandsTest.java
@@ -35,28 +35,28 @@
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
     private Path state;
     private Path file;
-    private PlanCommands plans;
+    private PlanCommands commands;
 
     @BeforeEach
     void write() throws Exception {
         state = folder.resolve("applied.json");
         file = Files.writeString(folder.resolve("chat.toml"), FILE);
-        plans = new PlanCommands(state, Map.of(), new PrintStream(printed));
+        commands = new PlanCommands(state, Map.of(), new PrintStream(printed));
     }
 
     @Test
-    void planShowsAndApplyDoesJustThatOnce() throws Exception {
-        assertEquals(PlanCommands.CHANGES, plans.plan(file, Optional.empty()));
+    void planShowsTheChangesAndApplyMakesThemOnce() throws Exception {
+        assertEquals(PlanCommands.CHANGES, commands.plan(file, Optional.empty()));
         assertTrue(printed.toString().contains("+ models.find.class = lookup"));
         assertTrue(Files.notExists(state));
-        plans.apply(file);
-        assertEquals(PlanCommands.NO_CHANGES, plans.plan(file, Optional.empty()));
+        commands.apply(file);
+        assertEquals(PlanCommands.NO_CHANGES, commands.plan(file, Optional.empty()));
         byte[] applied = Files.readAllBytes(state);
-        plans.apply(file);
+        commands.apply(file);
         assertArrayEquals(applied, Files.readAllBytes(state));
         Files.writeString(file, FILE.replace("300", "400").replace("CHAT_KEY", "NEW_KEY"));
         printed.reset();
-        assertEquals(PlanCommands.CHANGES, plans.plan(file, Optional.empty()));
+        assertEquals(PlanCommands.CHANGES, commands.plan(file, Optional.empty()));
         assertEquals(
                 "- keys.CHAT_KEY.tenant = acme\n+ keys.NEW_KEY.tenant = acme\n"
                         + "~ models.find.max_tokens = 300 -> 400\n3 changes.\n",
@@ -64,17 +64,17 @@
     }
 
     @Test
-    void aSavedPlanIsRefusedOnceTheStateHasMovedOn() throws Exception {
+    void savedPlanIsRefusedWhenTheStateHasChangedSince() throws Exception {
         Path first = folder.resolve("first");
         Path second = folder.resolve("second");
-        plans.plan(file, Optional.of(first));
+        commands.plan(file, Optional.of(first));
         Files.writeString(file, FILE.replace("300", "400"));
-        plans.plan(file, Optional.of(second));
-        plans.apply(second);
-        assertTrue(assertThrows(InvalidInputException.class, () -> plans.apply(first))
+        commands.plan(file, Optional.of(second));
+        commands.apply(second);
+        assertTrue(assertThrows(InvalidInputException.class, () -> commands.apply(first))
                 .getMessage()
                 .contains("stale"));
-        assertEquals("400", PlanCommands.applied(state).settings().get("models.find.max_tokens"));
+        assertEquals("400", AppliedState.read(state).settings().values().get("models.find.max_tokens"));
     }
 
     @ParameterizedTest
@@ -90,9 +90,9 @@
                 "300|= 1|not TOML",
                 "models.find.class = \"lookup\"|''|models.find.class is missing"
             })
-    void faultsInTheFileNameTheirKey(String part, String instead, String named) throws Exception {
+    void faultInTheFileIsReportedWithItsKey(String part, String instead, String named) throws Exception {
         Files.writeString(file, FILE.replace(part, instead));
-        InvalidInputException error = assertThrows(InvalidInputException.class, () -> plans.apply(file));
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> commands.apply(file));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertTrue(Files.notExists(state));
     }
@@ -111,7 +111,7 @@
                 "'discovery'|'discover'|discovery",
                 "'kinds':['p']|'kinds':'p'|kinds"
             })
-    void faultsInTheConfigurationNameTheirKey(String part, String instead, String named) {
+    void faultInTheConfigurationIsReportedWithItsKey(String part, String instead, String named) {
         String text = ("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:2','seed':'8c','limits':{'sockets'"
                         + ":1024},"
                         + "'settings':{'classes':[{'name':'c','objective':1,'deadline':4}],'zones':['a'],'kinds':"
--- a/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
+++ b/src/test/java/dunlinladder/lifecycle/RunScriptTest.java
@@ -34,7 +34,7 @@
         "'{}', 48",
         "'{\"limits\":{\"memory_mb\":4096}}', 256"
     })
-    void heapFollowsMemory(String configuration, int heap) throws Exception {
+    void heapFollowsTheConfiguredMemory(String configuration, int heap) throws Exception {
         Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
         Path config = Files.writeString(folder.resolve("config.json"), configuration);
@@ -50,7 +50,7 @@
 
     /** The platform refuses to fork: with nothing but the shell and Java a gateway still answers. */
     @Test
-    void startsWithNoOtherProgram() throws Exception {
+    void gatewayStartsWhenNoOtherProgramIsAtHand() throws Exception {
         Path java = Files.writeString(
                 folder.resolve("java"),
                 "#!/bin/sh\n"
