--- a/src/main/java/dunlinladder/lifecycle/ServicePolicy.java
+++ b/src/main/java/dunlinladder/lifecycle/ConfiguredServiceRules.java
@@ -1,24 +1,24 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.core.Dispatcher;
+import dunlinladder.core.ServiceRules;
 import dunlinladder.routing.RoutingSettings;
 
-/** What the core has to know of the settings, which only the routing package can read. */
-final class ServicePolicy implements Dispatcher.Policy {
+/** The core's rules on retries, read from the routing settings, which the core itself does not know. Immutable. */
+final class ConfiguredServiceRules implements ServiceRules {
 
     private final RoutingSettings settings;
 
-    ServicePolicy(RoutingSettings settings) {
+    ConfiguredServiceRules(RoutingSettings settings) {
         this.settings = settings;
     }
 
     @Override
-    public boolean once(int serviceClass) {
+    public boolean isNonIdempotent(int serviceClass) {
         return settings.classes().get(serviceClass).effect() == RoutingSettings.Effect.UNSAFE;
     }
 
     @Override
-    public boolean readsOnly(int kind) {
+    public boolean isPrefillOnly(int kind) {
         return kind < settings.roleByKind().size() && settings.roleByKind().get(kind) == RoutingSettings.Role.PREFILL;
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -95,7 +95,7 @@
     }
 
     private void checkSchedulingLag() {
-        parts.lagMonitor().beat();
+        parts.lagMonitor().probe();
         parts.router().pulse();
     }
 
@@ -204,7 +204,7 @@
 
     /** Releases are waited for as well: engines hold a KV cache until a release of it has arrived. */
     private void finishRequests() throws InterruptedException {
-        while (parts.dispatcher().activeRequests() > 0 || parts.engineClient().releasing() > 0) {
+        while (parts.dispatcher().activeRequests() > 0 || parts.engineClient().openReleases() > 0) {
             closeIdleConnections();
             Thread.sleep(STOP_POLL_MILLIS);
         }
--- a/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
@@ -8,6 +8,7 @@
 import dunlinladder.core.SendGuard;
 import dunlinladder.membership.EndpointUpdate;
 import dunlinladder.migration.EngineEligibility;
+import dunlinladder.migration.EngineStage;
 import dunlinladder.routing.BlockingRequestRouter;
 import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.chat.ChatExchange;
@@ -21,8 +22,10 @@
 import dunlinladder.transport.platform.PlatformExchange;
 import dunlinladder.transport.platform.PlatformRequestReader;
 import java.io.IOException;
+import java.util.EnumSet;
 import java.util.List;
 import java.util.Optional;
+import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.SynchronousQueue;
@@ -98,8 +101,8 @@
                 engineClient,
                 createRequestThreads(),
                 clock,
-                limits,
-                new ServicePolicy(config.routing()));
+                new Dispatcher.Settings(
+                        limits.requests(), limits.answerMarginSeconds(), new ConfiguredServiceRules(config.routing())));
         eligibility = chat.map(front -> createEligibility(front.settings()));
         int connectionsPerFront = limits.clientConnections() / (chat.isPresent() ? 2 : 1);
         platformFront = createPlatformFront(connectionsPerFront);
@@ -169,7 +172,7 @@
     private EngineEligibility createEligibility(ChatSettings settings) {
         return new EngineEligibility(
                 settings.engines(),
-                settings.move(),
+                Optional.ofNullable(settings.move()),
                 engines::listed,
                 this::stagesOf,
                 config.identity().seed(),
@@ -177,14 +180,14 @@
     }
 
     /** The stages of a request that an engine can serve; a kind that the settings do not know counts as mixed. */
-    private int stagesOf(Engine engine) {
+    private Set<EngineStage> stagesOf(Engine engine) {
         List<RoutingSettings.Role> roles = config.routing().roleByKind();
         RoutingSettings.Role role =
                 engine.kind() < roles.size() ? roles.get(engine.kind()) : RoutingSettings.Role.MIXED;
         return switch (role) {
-            case PREFILL -> EngineEligibility.READS;
-            case DECODE -> EngineEligibility.WRITES;
-            case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
+            case PREFILL -> EnumSet.of(EngineStage.PREFILL);
+            case DECODE -> EnumSet.of(EngineStage.DECODE);
+            case MIXED -> EnumSet.allOf(EngineStage.class);
         };
     }
 
--- a/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/MigrationConfigReader.java
@@ -88,12 +88,12 @@
                     format,
                     indexes(settings, prefix + "kinds", names.map(GatewayConfig.DeploymentNames::kinds)),
                     indexes(settings, prefix + "halls", names.map(GatewayConfig.DeploymentNames::zones)),
-                    pattern(settings, prefix + "ids").orElse(null)));
+                    pattern(settings, prefix + "ids")));
         }
         generations.sort(Comparator.comparing((Generation generation) -> orders.get(generation.name()))
                 .thenComparing(Generation::name));
         return generations.isEmpty()
-                ? List.of(new Generation(DEFAULT_GENERATION, ApiFormat.CHAT, Set.of(), Set.of(), null))
+                ? List.of(new Generation(DEFAULT_GENERATION, ApiFormat.CHAT, Set.of(), Set.of(), Optional.empty()))
                 : generations;
     }
 
--- a/src/main/java/dunlinladder/lifecycle/MigrationStatusLog.java
+++ b/src/main/java/dunlinladder/lifecycle/MigrationStatusLog.java
@@ -24,8 +24,8 @@
 
     @Override
     public void run() {
-        eligibility.tick(clock.now());
-        String status = eligibility.standing();
+        eligibility.advance(clock.now());
+        String status = eligibility.statusText();
         if (!status.equals(lastLogged)) {
             lastLogged = status;
             LOG.info("event=migration_status {}", status);
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -78,7 +78,7 @@
         super(connections);
         this.attempt = attempt;
         this.outgoing = (EngineRequestFactory) attempt.request().payload();
-        this.forward = outgoing.to(attempt.engine());
+        this.forward = outgoing.requestFor(attempt.engine());
         this.startedAt = clock.now();
         this.client = client;
         this.first = first;
@@ -113,7 +113,7 @@
      */
     private synchronized double waitsUntil() {
         return phase != Phase.STREAMING
-                ? attempt.until()
+                ? attempt.firstTokenDeadline()
                 : (untaken > 0 ? clock.now() : heardAt) + limits.streamSeconds();
     }
 
@@ -129,13 +129,13 @@
                         case STREAMING -> Ending.RESET;
                     }));
         }
-        finish(false);
+        closeConnection();
     }
 
     @Override
     public void abandon() {
         settle(Outcome.of(Ending.CANCELLED));
-        finish(false);
+        closeConnection();
     }
 
     private synchronized void settle(Outcome outcome) {
@@ -155,7 +155,7 @@
 
     /** Only what breaks before the request's last byte is written has certainly not run. */
     @Override
-    synchronized void broken() {
+    synchronized void connectionFailed() {
         settle(Outcome.of(phase == Phase.SENDING ? Ending.CONNECT_FAILED : Ending.RESET));
     }
 
@@ -167,13 +167,13 @@
         if (!mayStart()) {
             // The connection was there, yet this thread came to it only now. Its end is our own doing and
             // says nothing of kept connections.
-            finish(false);
+            closeConnection();
             throw new ConnectionClosedException("the engine drains");
         }
         BasicHttpRequest request = new BasicHttpRequest(forward.method(), forward.target());
-        request.setAuthority(EngineConnectionPool.authority(attempt.engine()));
+        request.setAuthority(EngineAddress.authority(attempt.engine()));
         request.setHeader("X-Request-ID", attempt.request().id());
-        request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.until() - clock.now())));
+        request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.firstTokenDeadline() - clock.now())));
         boolean empty = !body.hasRemaining();
         if (empty) {
             sent();
@@ -223,7 +223,7 @@
     }
 
     @Override
-    void head(HttpResponse response, EntityDetails entity) throws HttpException {
+    void responseHead(HttpResponse response, EntityDetails entity) throws HttpException {
         sent();
         status = response.getCode();
         if (status == 200 && entity != null && !entity.isChunked() && entity.getContentLength() < 0) {
@@ -231,8 +231,8 @@
             throw new ProtocolException("a stream without chunks");
         }
         notRun = response.containsHeader("X-Not-Processed");
-        Header load = response.getFirstHeader(EngineReportReader.HEADER);
-        report = EngineReportReader.load(load == null ? null : load.getValue());
+        Header load = response.getFirstHeader(EngineReportReader.LOAD_HEADER);
+        report = EngineReportReader.loadReport(load == null ? null : load.getValue());
     }
 
     @Override
@@ -275,7 +275,7 @@
             taken(size);
             return;
         }
-        int held = events.held();
+        int held = events.pendingBytes();
         try {
             ByteBuffer whole = events.add(source);
             // What waits for the rest of its event is not the client's to take.
@@ -322,17 +322,18 @@
         String text = answer.toString(StandardCharsets.UTF_8);
         switch (status) {
             case 200 -> served();
-            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.keptInRead(text), report));
-            case 410 -> settle(new Outcome(Ending.FULL, 1, report));
+            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.cachedTokensOfPrefill(text), report));
+            case 410 -> settle(Outcome.kvCacheMissing(report));
             case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
-            default -> settle(new Outcome(outgoing.rejects(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
+            default ->
+                settle(new Outcome(outgoing.isRejection(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
         }
-        finish(true);
+        returnConnection();
     }
 
     private void served() throws IOException {
         try {
-            int held = events.held();
+            int held = events.pendingBytes();
             pass(events.end(), held);
         } catch (InvalidInputException e) {
             throw new IOException("the stream is spoilt: " + e.getMessage());
@@ -340,6 +341,7 @@
         settle(
                 phase != Phase.STREAMING
                         ? Outcome.of(Ending.RESET)
-                        : new Outcome(Ending.OK, events.kept(), report.isEmpty() ? events.report() : report));
+                        : new Outcome(
+                                Ending.OK, events.cachedTokens(), report.isEmpty() ? events.loadReport() : report));
     }
 }
