--- a/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
+++ b/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
@@ -34,8 +34,6 @@
     private static final Logger LOG = LoggerFactory.getLogger(BlockingRequestRouter.class);
     /** Longest wait for a timer in one {@code tick}; a new earlier timer cuts it short. */
     private static final long TICK_MOST = 1_000_000_000L;
-    /** Share of its aim for which a request may wait until this process can follow it. */
-    private static final double WAIT_SHARE = 0.5;
     /** Seconds between two lines in the log that tell of it. */
     private static final double TELL_EVERY = 1;
 
@@ -140,13 +138,13 @@
 
     /** Waits until this process can follow one more request; what to do instead where that takes too long. */
     private RoutingDecision letIn(Owed entry, Request request) throws InterruptedException {
-        entry.in = intake.open(lag.getAsDouble());
+        entry.in = intake.isOpen(lag.getAsDouble());
         if (entry.in) {
             return null;
         }
         double now = clock.now();
-        double until = now
-                + Math.min(settings.classes().get(request.serviceClass()).aim(), request.deadline() - now) * WAIT_SHARE;
+        double objective = settings.classes().get(request.serviceClass()).aim();
+        double until = now + AdmissionQueue.maxWaitSeconds(objective, request.deadline() - now);
         intake.add(entry);
         while (!entry.in && !entry.gone && clock.now() < until) {
             entry.ready.awaitNanos((long) ((until - clock.now()) * 1e9) + 1);
@@ -164,7 +162,7 @@
     public void pulse() {
         lock.lock();
         try {
-            for (int left = intake.look(lag.getAsDouble()); left > 0; left--) {
+            for (int left = intake.admissible(lag.getAsDouble()); left > 0; left--) {
                 Owed entry = intake.next();
                 entry.in = true;
                 entry.ready.signal();
--- a/src/main/java/dunlinladder/routing/EngineState.java
+++ b/src/main/java/dunlinladder/routing/EngineState.java
@@ -5,94 +5,137 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What one router knows of one server. Plain state; {@link RoutingPolicy} decides on it. */
+/** What one gateway knows of one engine. Plain state; decides nothing. Times are clock seconds. */
 final class EngineState {
+    /** Seconds after which a load report no longer counts. */
+    static final double REPORT_VALID_SECONDS = 3;
+    /** Seconds in which the count of failures falls to a third. */
+    private static final double FAILURE_FADE_SECONDS = 4;
+    /** Names of the figures in a load report: KV memory in use, 0 to 1; thousands of prompt tokens queued. */
+    private static final String REPORTED_MEMORY = "x0";
+
+    private static final String REPORTED_QUEUE = "x1";
+
     final String id;
-    RoutingEvent.Endpoint member;
+    RoutingEvent.Endpoint endpoint;
     RoutingSettings.Role role;
-    /** Tokens that its memory holds by the settings; 0 where they do not say. */
-    double memory;
-    /** True while the list has it active; a server that drains or is gone gets nothing new. */
-    boolean open;
-    /** This router's attempts here that have had no answer yet, in the order sent. */
-    final Set<Attempt> pending = new LinkedHashSet<>();
-
-    int reads;
-    double readTokens;
+    /** Tokens that its KV memory holds by the settings; 0 where they do not say. */
+    double kvCapacityTokens;
+    /** Listed as active; an engine that drains or has left gets nothing new. */
+    boolean active;
+    /** This gateway's attempts here without an answer, in the order sent. */
+    final Set<AttemptState> unanswered = new LinkedHashSet<>();
+
+    int prefills;
+    double prefillTokens;
     int streams;
     double streamWeight;
     double heldTokens;
-    /** Smoothed answer delay over what the request's size explains; NaN before the first sample. */
-    double delay = Double.NaN;
+    /** Smoothed answer delay in seconds over what the request's size explains; NaN before the first sample. */
+    double smoothedDelay = Double.NaN;
 
-    double sampledAt;
-    /** Delay now, slowness against the peers' median and relative speed, at the last comparison. */
-    double lag = Double.NaN;
+    double delaySampledAt;
+    /** The delay now, its multiple of the peers' median and the relative speed, as of the last comparison. */
+    double currentDelay = Double.NaN;
 
     double slowness = 1;
     double speed = 1;
-    /** Part found kept of beginnings that this router had sent here, and of others; from 0 to 1. */
-    double foundSent = 1;
+    /** Part, 0 to 1, found cached of prefixes that this gateway had sent here, and of others. */
+    double cachedPartOfSent = 1;
 
-    double foundOther = 1;
-    /** How long its streams last against the usual, at {@code pacedAt}; see {@link StreamDurationStats}. */
-    double pace = 1;
+    double cachedPartOfOthers;
+    /** How long its streams last against the usual, as of {@code streamPaceAt}; see {@link StreamDurationStats}. */
+    double streamPace = 1;
 
-    double pacedAt;
+    double streamPaceAt;
     /** Streams sent here lately, oldest first: the latest report may not show them yet. */
-    final ArrayDeque<Attempt> sentSince = new ArrayDeque<>();
+    final ArrayDeque<AttemptState> recentStreams = new ArrayDeque<>();
 
-    double failures;
-    double failuresAt;
-    int failedInRow;
+    final DecayingCounter failures = new DecayingCounter(FAILURE_FADE_SECONDS);
+    int consecutiveFailures;
     /** Attempts in a row that could not connect; that says nothing of the others, as being late may. */
-    int unreachedInRow;
+    int consecutiveConnectFailures;
 
-    double nextTrialAt;
+    double nextProbeAt;
     double fullUntil;
-    double memoryShare = Double.NaN;
-    double waitingKilotokens = Double.NaN;
-    double reportAt = Double.NEGATIVE_INFINITY;
-    /** Sends that a cold server may still get from this router, as of {@code creditAt}. */
-    double credit;
+    private double reportedMemory = Double.NaN;
+    private double reportedQueue = Double.NaN;
+    private double reportAt = Double.NEGATIVE_INFINITY;
+    /** Forwards that it may still get from this gateway while it warms up, as of {@code slowStartBudgetAt}. */
+    double slowStartBudget;
 
-    double creditAt;
+    double slowStartBudgetAt;
 
     EngineState(String id) {
         this.id = id;
     }
 
-    void heard(Map<String, Double> report, double now) {
+    int zone() {
+        return endpoint.zone();
+    }
+
+    int rack() {
+        return endpoint.cell();
+    }
+
+    /** Takes in the load report of an answer; an empty one says nothing. */
+    void receiveReport(Map<String, Double> report, double now) {
         if (!report.isEmpty()) {
-            memoryShare = report.getOrDefault("x0", Double.NaN);
-            waitingKilotokens = report.getOrDefault("x1", Double.NaN);
+            reportedMemory = report.getOrDefault(REPORTED_MEMORY, Double.NaN);
+            reportedQueue = report.getOrDefault(REPORTED_QUEUE, Double.NaN);
             reportAt = now;
         }
     }
 
-    /** Notes a stream sent here; what was sent over {@code keepFor} seconds before it is dropped. */
-    void sent(Attempt attempt, double keepFor) {
-        while (!sentSince.isEmpty() && attempt.sentAt - sentSince.getFirst().sentAt > keepFor) {
-            sentSince.removeFirst();
+    boolean hasFreshReport(double now) {
+        return now - reportAt <= REPORT_VALID_SECONDS;
+    }
+
+    boolean reportsMemory(double now) {
+        return hasFreshReport(now) && !Double.isNaN(reportedMemory);
+    }
+
+    boolean reportsQueue(double now) {
+        return hasFreshReport(now) && !Double.isNaN(reportedQueue);
+    }
+
+    /** Part of its KV memory in use, 0 to 1, by the last report. */
+    double reportedMemory() {
+        return reportedMemory;
+    }
+
+    /** Thousands of prompt tokens queued, by the last report. */
+    double reportedQueue() {
+        return reportedQueue;
+    }
+
+    double reportAt() {
+        return reportAt;
+    }
+
+    /** Notes a stream sent here; what was sent before reports that still count is dropped. */
+    void streamSent(AttemptState attempt) {
+        while (!recentStreams.isEmpty() && attempt.sentAt - recentStreams.getFirst().sentAt > REPORT_VALID_SECONDS) {
+            recentStreams.removeFirst();
         }
-        sentSince.addLast(attempt);
+        recentStreams.addLast(attempt);
     }
 
     /** Tokens that streams sent here since then may hold. */
-    double heldSince(double from) {
-        return sentSince.stream()
-                .filter(a -> a.sentAt >= from)
-                .mapToDouble(a -> a.held)
+    double tokensSentSince(double from) {
+        return recentStreams.stream()
+                .filter(attempt -> attempt.sentAt >= from)
+                .mapToDouble(attempt -> attempt.heldTokens)
                 .sum();
     }
 
     /** A new process under the same id: what was known of the old one says nothing of it. */
-    void forget() {
-        delay = Double.NaN;
-        failures = 0;
-        foundSent = 1;
-        failedInRow = 0;
-        unreachedInRow = 0;
+    void forgetProcess() {
+        smoothedDelay = Double.NaN;
+        failures.reset();
+        cachedPartOfSent = 1;
+        consecutiveFailures = 0;
+        consecutiveConnectFailures = 0;
         fullUntil = 0;
         reportAt = Double.NEGATIVE_INFINITY;
     }
--- a/src/main/java/dunlinladder/routing/LruMap.java
+++ b/src/main/java/dunlinladder/routing/LruMap.java
@@ -3,19 +3,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map that forgets what was used longest ago once it holds more than its bound. */
+/** A map that forgets the least recently used entry once it holds more than its bound. */
 final class LruMap<K, V> extends LinkedHashMap<K, V> {
 
     private static final long serialVersionUID = 1;
-    private final int most;
+    private static final int INITIAL_CAPACITY = 16;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    LruMap(int most) {
-        super(16, 0.75f, true);
-        this.most = most;
+    private final int maxEntries;
+
+    LruMap(int maxEntries) {
+        super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+        this.maxEntries = maxEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
+        return size() > maxEntries;
     }
 }
--- a/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
+++ b/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
@@ -1,100 +1,116 @@
 package dunlinladder.routing;
 
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What servers that read probably keep of prompts: which one had a session's last turn, which had a beginning lately,
- * and what part of it was found again. Plain state of one router; {@link RoutingPolicy} decides on it.
+ * What the prefix caches of engines that prefill probably hold: which engine had a session's last turn, which had a
+ * prefix lately, and what part of it was found again. Records and estimates; decides nothing.
  */
 final class PrefixCacheIndex {
+    /** Seconds for which a cached prefix is believed in; engines forget silently when their memory turns over. */
+    private static final double BELIEVED_SECONDS = 30;
+    /** Sessions, and prefixes, remembered; bounds memory. */
+    private static final int MAX_REMEMBERED = 20_000;
+    /** Weight of the latest answer in the part that an engine was found to hold: about the last five. */
+    private static final double ENGINE_WEIGHT = 0.2;
+    /** The same for all engines of a role, where each is met seldom: the last ten answers of the role. */
+    private static final double ROLE_WEIGHT = ENGINE_WEIGHT / 2;
 
-    private record Turn(EngineState worker, double tokens, double at) {}
+    record Turn(EngineState engine, double tokens, double at) {}
 
-    private final double keptFor;
-    private final double smooth;
-    /** Part of a beginning that servers of a role were found to keep, the last ten answers of the role. */
-    private final double[] foundByRole = {1, 1, 1};
+    private final PolicyContext context;
+    /** By role: part of a prefix, 0 to 1, that its engines were found to hold. */
+    private final Ewma[] cachedPart = new Ewma[Role.values().length];
 
-    private final Map<Long, Turn> sessions;
-    private final Map<Long, Map<EngineState, Double>> prefixes;
+    final Map<Long, Turn> lastTurns = new LruMap<>(MAX_REMEMBERED);
+    /** By prefix, then engine: clock time in seconds at which it was last sent. */
+    final Map<Long, Map<EngineState, Double>> prefixesSent = new LruMap<>(MAX_REMEMBERED);
 
-    /**
-     * Remembers nothing yet.
-     *
-     * @param most sessions, and beginnings, remembered at the most
-     * @param keptFor seconds for which a server is believed to keep what it was sent
-     * @param smooth weight of the latest answer in the parts found kept, 0 to 1
-     */
-    PrefixCacheIndex(int most, double keptFor, double smooth) {
-        this.keptFor = keptFor;
-        this.smooth = smooth;
-        sessions = new LruMap<>(most);
-        prefixes = new LruMap<>(most);
+    PrefixCacheIndex(PolicyContext context) {
+        this.context = context;
+        for (int role = 0; role < cachedPart.length; role++) {
+            cachedPart[role] = new Ewma(1, ROLE_WEIGHT);
+        }
     }
 
-    /** The server that had the session's last turn and probably keeps it, or null. */
-    EngineState sessionAt(long session, double now) {
-        Turn last = sessions.get(session);
-        return last != null && now - last.at < keptFor && last.worker.member.startedAt() < last.at ? last.worker : null;
+    /** The engine that had the session's last turn and probably still caches it. */
+    Optional<EngineState> engineOfSession(long session) {
+        Turn last = lastTurns.get(session);
+        return last != null && isBelieved(last.engine, last.at) ? Optional.of(last.engine) : Optional.empty();
     }
 
-    /** Tokens of the prompt that the session's last turn had; its server must be known. */
-    double sessionTokens(RoutingEvent.Request request) {
-        return Math.min(sessions.get(request.session()).tokens, request.promptTokens());
+    /** Prompt tokens that an engine that prefills probably finds in its cache. */
+    double cachedTokens(RequestState request, EngineState engine) {
+        RoutingEvent.Request details = request.details;
+        Turn last = lastTurns.get(details.session());
+        if (last != null && last.engine == engine && isBelieved(engine, last.at)) {
+            return Math.min(last.tokens, details.promptTokens());
+        }
+        return details.prefixTokens() * cachedPart(engine, prefixSent(details.prefix(), engine));
     }
 
-    /** Whether this router has sent the server that beginning, not long ago and since it started. */
-    boolean prefixSent(long prefix, EngineState w, double now) {
-        Map<EngineState, Double> sent = prefixes.get(prefix);
-        Double at = sent == null ? null : sent.get(w);
-        return at != null && now - at < keptFor && w.member.startedAt() < at;
+    private double cachedPart(EngineState engine, boolean sent) {
+        if (context.seesAllLoad()) {
+            return sent ? engine.cachedPartOfSent : engine.cachedPartOfOthers;
+        }
+        return sent || !context.isWarmingUp(engine) ? cachedPart[engine.role.ordinal()].mean() : 0;
     }
 
-    /** Noted at the send, so that the next request of the same session or beginning follows it. */
-    void note(Attempt attempt, double now) {
-        RoutingEvent.Request request = attempt.job.request;
-        Turn last = sessions.get(request.session());
-        attempt.sessionSent = last != null && last.worker == attempt.worker;
-        attempt.prefixSent = prefixSent(request.prefix(), attempt.worker, now);
-        sessions.put(request.session(), new Turn(attempt.worker, request.promptTokens(), now));
-        if (request.prefix() != 0) {
-            prefixes.computeIfAbsent(request.prefix(), p -> new LinkedHashMap<>())
-                    .put(attempt.worker, now);
+    /** Whether this gateway has sent the engine that prefix, not long ago and since it started. */
+    private boolean prefixSent(long prefix, EngineState engine) {
+        Map<EngineState, Double> sent = prefixesSent.get(prefix);
+        Double at = sent == null ? null : sent.get(engine);
+        return at != null && isBelieved(engine, at);
+    }
+
+    private boolean isBelieved(EngineState engine, double at) {
+        return context.now - at < BELIEVED_SECONDS && engine.endpoint.startedAt() < at;
+    }
+
+    /** Notes a prefill at its send, so that the next request of the same session or prefix can follow it. */
+    void record(AttemptState attempt) {
+        RoutingEvent.Request details = attempt.request.details;
+        Turn last = lastTurns.get(details.session());
+        attempt.sessionSent = last != null && last.engine == attempt.engine;
+        attempt.prefixSent = prefixSent(details.prefix(), attempt.engine);
+        lastTurns.put(details.session(), new Turn(attempt.engine, details.promptTokens(), context.now));
+        if (details.prefix() != 0) {
+            prefixesSent
+                    .computeIfAbsent(details.prefix(), prefix -> new LinkedHashMap<>())
+                    .put(attempt.engine, context.now);
         }
     }
 
     /**
-     * Takes in how many prompt tokens a server found kept: apart for beginnings that this router had sent it and for
-     * others. A session's own turns say nothing of the others. With {@code byRole} all servers of a role are taken
-     * together: where routers are many each meets one server too seldom to learn of it alone.
+     * Takes in how many prompt tokens an engine found cached: apart for prefixes that this gateway had sent it and for
+     * others. A session's own turns say nothing of the others. Where gateways are many, all engines of a role are taken
+     * together, as each is met too seldom to learn of it alone.
      */
-    void learn(Attempt attempt, double found, boolean byRole) {
-        EngineState w = attempt.worker;
-        double prefix = attempt.job.request.prefixTokens();
+    void learn(AttemptState attempt, double foundTokens) {
+        EngineState engine = attempt.engine;
+        double prefix = attempt.request.details.prefixTokens();
         if (prefix <= 0) {
             return;
         }
-        double part = Math.min(1, found / prefix);
-        if (byRole) {
-            int role = w.role.ordinal();
-            foundByRole[role] += attempt.sessionSent ? 0 : (part - foundByRole[role]) * smooth / 2;
+        double part = Math.min(1, foundTokens / prefix);
+        if (!context.seesAllLoad()) {
+            if (!attempt.sessionSent) {
+                cachedPart[engine.role.ordinal()].add(part);
+            }
         } else if (attempt.prefixSent) {
-            w.foundSent += (part - w.foundSent) * smooth;
+            engine.cachedPartOfSent = Ewma.next(engine.cachedPartOfSent, part, ENGINE_WEIGHT);
         } else if (!attempt.sessionSent) {
-            w.foundOther += (part - w.foundOther) * smooth;
+            engine.cachedPartOfOthers = Ewma.next(engine.cachedPartOfOthers, part, ENGINE_WEIGHT);
         }
     }
 
-    /** Part of a beginning, 0 to 1, that servers of a role were found to keep; 1 before any answer. */
-    double foundBy(RoutingSettings.Role role) {
-        return foundByRole[role.ordinal()];
-    }
-
-    /** The server left for good. */
-    void forget(EngineState w) {
-        sessions.values().removeIf(turn -> turn.worker == w);
-        prefixes.values().forEach(sent -> sent.remove(w));
-        prefixes.values().removeIf(Map::isEmpty);
+    /** The engine has left for good. */
+    void forget(EngineState engine) {
+        lastTurns.values().removeIf(turn -> turn.engine == engine);
+        prefixesSent.values().forEach(sent -> sent.remove(engine));
+        prefixesSent.values().removeIf(Map::isEmpty);
     }
 }
--- a/src/main/java/dunlinladder/routing/StreamDurationStats.java
+++ b/src/main/java/dunlinladder/routing/StreamDurationStats.java
@@ -1,52 +1,55 @@
 package dunlinladder.routing;
 
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Role;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
- * How long streams last at a server, against the mean of their class at servers that only write. The lengths of answers
- * are not told, so only means over several compare. Plain state of one router.
+ * How long streams last at an engine, against the mean of their class at decode engines. The lengths of answers are not
+ * told, so only means over several compare. Records and estimates; decides nothing.
  */
 final class StreamDurationStats {
+    /** Weight of the latest stream in the decode engines' mean of its class: some fifty streams. */
+    private static final double CLASS_WEIGHT = 0.02;
+    /** Weight of the latest stream in an engine's pace: about the last ten, as answers differ in length. */
+    private static final double PACE_WEIGHT = 0.1;
+    /** Seconds in which a pace not seen again fades to a third of its distance from 1. */
+    private static final double PACE_FADE_SECONDS = 5;
 
-    private final double smoothUsual;
-    private final double smooth;
-    private final double fade;
-    private final Map<Integer, Double> usual = new HashMap<>();
+    private final PolicyContext context;
+    /** By service class, in seconds. */
+    private final Map<Integer, Ewma> usualSeconds = new HashMap<>();
 
-    /**
-     * Knows nothing yet.
-     *
-     * @param smoothUsual weight of the latest stream in the writers' mean of its class, 0 to 1
-     * @param smooth weight of the latest stream in a server's pace, 0 to 1
-     * @param fade seconds in which a pace not seen again fades to a third of its distance from 1
-     */
-    StreamDurationStats(double smoothUsual, double smooth, double fade) {
-        this.smoothUsual = smoothUsual;
-        this.smooth = smooth;
-        this.fade = fade;
+    StreamDurationStats(PolicyContext context) {
+        this.context = context;
     }
 
-    /** Times the usual that streams last at a server, as far as still known; 1 before any. */
-    double of(EngineState w, double now) {
-        return 1 + (w.pace - 1) * Math.exp((w.pacedAt - now) / fade);
+    /** Times the usual that streams last at an engine, as far as still known; 1 before any. */
+    double pace(EngineState engine) {
+        return 1 + (engine.streamPace - 1) * Math.exp((engine.streamPaceAt - context.now) / PACE_FADE_SECONDS);
     }
 
-    /** Takes in a stream that ended well; {@code counts} is false where a router sees too few. */
-    void learn(Attempt attempt, RoutingEvent.Status status, double now, boolean counts) {
-        if (!counts || status != RoutingEvent.Status.OK || Double.isNaN(attempt.firstAt)) {
+    /** Takes in an attempt that has ended; only a stream that ended well counts, and only where enough are seen. */
+    void record(AttemptState attempt, Status status) {
+        if (!context.seesAllLoad() || status != Status.OK || !attempt.hasFirstToken()) {
             return;
         }
-        double lasted = now - attempt.firstAt;
-        EngineState w = attempt.worker;
-        int type = attempt.job.request.serviceClass();
-        if (w.role == RoutingSettings.Role.DECODE) {
-            usual.merge(type, lasted, (mean, last) -> mean + (last - mean) * smoothUsual);
+        double seconds = context.now - attempt.firstTokenAt;
+        EngineState engine = attempt.engine;
+        int serviceClass = attempt.request.details.serviceClass();
+        Ewma usual = usualSeconds.get(serviceClass);
+        if (engine.role == Role.DECODE) {
+            if (usual == null) {
+                usual = new Ewma(seconds, CLASS_WEIGHT);
+                usualSeconds.put(serviceClass, usual);
+            } else {
+                usual.add(seconds);
+            }
         }
-        Double mean = usual.get(type);
-        if (mean != null && mean > 0) {
-            w.pace = of(w, now) + (lasted / mean - of(w, now)) * smooth;
-            w.pacedAt = now;
+        if (usual != null && usual.mean() > 0) {
+            engine.streamPace = Ewma.next(pace(engine), seconds / usual.mean(), PACE_WEIGHT);
+            engine.streamPaceAt = context.now;
         }
     }
 }
--- a/src/main/java/dunlinladder/routing/TenantTokenBuckets.java
+++ b/src/main/java/dunlinladder/routing/TenantTokenBuckets.java
@@ -1,43 +1,37 @@
 package dunlinladder.routing;
 
 import java.util.Arrays;
-import java.util.List;
 
-/** What each tenant has left of this router's part of its quota, in requests. Plain state of one router. */
+/** Quotas: what each tenant has left of this gateway's part of its requests a second. All may first send a burst. */
 final class TenantTokenBuckets {
+    private static final double BURST_SECONDS = 3; // of quota that a tenant may save up
+    private static final double MIN_BURST = 4; // requests likewise, where this gateway's part is under one a second
 
     private final double[] rates;
-    private final double burst;
-    private final double least;
-    private final double[] left;
-    private final double[] at;
+    private final double minBurst;
+    private final double[] tokens;
+    private final double[] filledAt;
 
-    /**
-     * All may send at once what they may save up.
-     *
-     * @param perSecond requests a second of each tenant, all routers together
-     * @param routers how many routers share that
-     * @param burst seconds of quota that may be saved up
-     * @param least requests that may be saved up at the least
-     */
-    TenantTokenBuckets(List<Double> perSecond, int routers, double burst, double least) {
-        rates = perSecond.stream().mapToDouble(rate -> rate / routers).toArray();
-        this.burst = burst;
-        this.least = least;
-        left = new double[rates.length];
-        at = new double[rates.length];
-        Arrays.fill(left, Double.POSITIVE_INFINITY); // cut to what may be saved at the first request
+    TenantTokenBuckets(PolicyContext context) {
+        int gateways = context.settings.balancers();
+        rates = context.settings.quotas().stream()
+                .mapToDouble(rate -> rate / gateways)
+                .toArray();
+        minBurst = MIN_BURST * context.unobservedLoad;
+        tokens = new double[rates.length];
+        filledAt = new double[rates.length];
+        Arrays.fill(tokens, Double.POSITIVE_INFINITY); // cut to the burst at the first request
     }
 
-    /** Counts a request of a tenant; true where it is over its share. */
-    boolean overShare(int tenant, double now) {
+    /** Counts a request of a tenant; whether it is over the quota. */
+    boolean isOverQuota(int tenant, double now) {
         if (tenant < 0 || tenant >= rates.length) {
             return false;
         }
-        double rate = rates[tenant];
-        double room = Math.min(left[tenant] + (now - at[tenant]) * rate, Math.max(rate * burst, least));
-        at[tenant] = now;
-        left[tenant] = room < 1 ? room : room - 1;
-        return room < 1;
+        double burst = Math.max(rates[tenant] * BURST_SECONDS, minBurst);
+        double available = Math.min(tokens[tenant] + (now - filledAt[tenant]) * rates[tenant], burst);
+        filledAt[tenant] = now;
+        tokens[tenant] = available < 1 ? available : available - 1;
+        return available < 1;
     }
 }
--- a/src/test/java/dunlinladder/routing/AdmissionQueueTest.java
+++ b/src/test/java/dunlinladder/routing/AdmissionQueueTest.java
@@ -14,18 +14,18 @@
     @ParameterizedTest
     @CsvSource({"0 0 0 0 0 0, 1 2 4 8 5 0", "0.2 0.2 0.2, 0 0 0", "0 0 0.2 0 0, 1 2 0 1 2", "0.1 0.11 0.1, 1 0 1"})
     void letsInTwiceAsManyWhileItCatchesUp(String lags, String let) {
-        AdmissionQueue<Integer> intake = new AdmissionQueue<>(0.1);
+        AdmissionQueue<Integer> queue = new AdmissionQueue<>(0.1);
         for (int i = 0; i < 20; i++) {
-            intake.add(i);
+            queue.add(i);
         }
         int[] next = {0};
         assertEquals(
                 let,
                 Arrays.stream(lags.split(" "))
                         .map(lag -> {
-                            int now = intake.look(Double.parseDouble(lag));
+                            int now = queue.admissible(Double.parseDouble(lag));
                             for (int i = 0; i < now; i++) {
-                                assertEquals(next[0]++, intake.next());
+                                assertEquals(next[0]++, queue.next());
                             }
                             return String.valueOf(now);
                         })
@@ -35,13 +35,13 @@
     /** Nothing overtakes those that wait, and with none waiting the lag alone decides. */
     @ParameterizedTest
     @CsvSource({"0, false, true", "0.1, false, true", "0.11, false, false", "0, true, false"})
-    void isOpenAtOnce(double lag, boolean one, boolean open) {
-        AdmissionQueue<String> intake = new AdmissionQueue<>(0.1);
-        intake.add("gone");
-        intake.remove("gone");
-        if (one) {
-            intake.add("waits");
+    void isOpenAtOnce(double lag, boolean anotherWaits, boolean open) {
+        AdmissionQueue<String> queue = new AdmissionQueue<>(0.1);
+        queue.add("disconnected");
+        queue.remove("disconnected");
+        if (anotherWaits) {
+            queue.add("waits");
         }
-        assertEquals(open, intake.open(lag));
+        assertEquals(open, queue.isOpen(lag));
     }
 }
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -5,7 +5,6 @@
 import dunlinladder.routing.RoutingSettings.Effect;
 import dunlinladder.routing.RoutingSettings.Group;
 import dunlinladder.routing.RoutingSettings.Role;
-import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -24,7 +23,7 @@
     private final Map<String, Double> sentAt = new HashMap<>();
     private final Map<String, Double> finalAt = new HashMap<>();
     private final List<double[]> timers = new ArrayList<>();
-    private Router router = new RoutingPolicy(settings, 1);
+    private RoutingPolicy router = new RoutingPolicy(settings, 1);
     private double now = 100;
 
     static RoutingSettings settings(Effect effect, Group group) {
@@ -136,19 +135,10 @@
     }
 
     /** How many servers, sessions and shared beginnings the module holds. */
-    String remembered() throws ReflectiveOperationException {
-        StringBuilder sizes = new StringBuilder();
-        Object keeps = field(router, "keeps");
-        for (Object map : List.of(field(router, "workers"), field(keeps, "sessions"), field(keeps, "prefixes"))) {
-            sizes.append(' ').append(((Map<?, ?>) map).size());
-        }
-        return sizes.substring(1);
-    }
-
-    private static Object field(Object owner, String name) throws ReflectiveOperationException {
-        Field field = owner.getClass().getDeclaredField(name);
-        field.setAccessible(true);
-        return field.get(owner);
+    String remembered() {
+        PolicyContext context = router.context;
+        PrefixCacheIndex cache = context.prefixCache;
+        return context.engines.size() + " " + cache.lastTurns.size() + " " + cache.prefixesSent.size();
     }
 
     Fleet restart(String id) {
--- a/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -190,14 +190,14 @@
     void whatWasSentLatelyIsBounded() {
         EngineState writer = new EngineState("w0");
         for (int i = 0; i < 100; i++) {
-            writer.sent(new Attempt(null, i, writer, Attempt.Stage.DECODE, i), 3);
+            writer.streamSent(new AttemptState(null, i, writer, AttemptState.Stage.DECODE, i));
         }
-        assertEquals(4, writer.sentSince.size());
+        assertEquals(4, writer.recentStreams.size());
     }
 
     /** What was kept of an engine goes with it: it would grow with every engine that is replaced. */
     @Test
-    void enginesThatLeftAreForgotten() throws Exception {
+    void enginesThatLeftAreForgotten() {
         Fleet fleet = pair();
         fleet.serve(fleet.arrive("a", 7).id());
         fleet.shared("b", 8);
@@ -210,7 +210,7 @@
 
     /** Six in ten of sixty engines are replaced again and again under new ids: nothing is kept of the old. */
     @Test
-    void whatIsKnownIsBoundedByTheEnginesThatLive() throws Exception {
+    void whatIsKnownIsBoundedByTheEnginesThatLive() {
         Fleet fleet = new Fleet().routers(14);
         for (int i = 0; i < 60; i++) {
             fleet.with("e0-" + i, i % 12, Role.values()[i % 3]);
@@ -327,7 +327,7 @@
             for (double chance : new double[] {0, 0.5, 0.99}) {
                 assertEquals(
                         Math.min(1, known * (0.5 + chance)),
-                        RequestState.advice(wait, Fleet.settings(Effect.SAFE, Group.ALL), chance));
+                        AdmissionControl.retryAfter(wait, Fleet.settings(Effect.SAFE, Group.ALL), chance));
             }
         }
     }
