--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -77,7 +77,7 @@
         timer.scheduleWithFixedDelay(
                 () -> {
                     pulse.probe();
-                    decisions.pulse();
+                    decisions.admitQueued();
                 },
                 0,
                 (long) (limits.lagCheckSeconds() * 1e6),
@@ -239,7 +239,7 @@
     private void tick() {
         try {
             while (true) {
-                decisions.tick();
+                decisions.runTimers();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
+++ b/src/main/java/dunlinladder/routing/BlockingRequestRouter.java
@@ -8,13 +8,12 @@
 import dunlinladder.core.RequestRouter;
 import dunlinladder.core.RoutingDecision;
 import dunlinladder.core.Seconds;
-import java.util.ArrayDeque;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
-import java.util.Queue;
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
@@ -23,171 +22,183 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The decision module in blocking style: {@code pick} waits for a request's next step, the other calls report,
- * {@code tick} runs timers. Events and actions stay inside.
+ * The routing policy in blocking style: {@link #nextDecision} waits for a request's next decision, the other calls
+ * report events, {@link #runTimers} runs timers. Events and actions stay inside.
  *
- * <p>One lock guards everything. The clock is read while it is held: read before, a thread that waited for the lock
- * would hand the module a time that lies behind one it has already seen.
+ * <p>One lock guards everything that changes: the router, the pending requests and their fields, the admission queue,
+ * the timers and the figures of the log. The clock is read while it is held: read before, a thread that waited for the
+ * lock would hand the router a time that lies behind one it has already seen.
  */
 public final class BlockingRequestRouter implements RequestRouter {
 
     private static final Logger LOG = LoggerFactory.getLogger(BlockingRequestRouter.class);
-    /** Longest wait for a timer in one {@code tick}; a new earlier timer cuts it short. */
-    private static final long TICK_MOST = 1_000_000_000L;
-    /** Seconds between two lines in the log that tell of it. */
-    private static final double TELL_EVERY = 1;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Longest wait for a timer in one call of {@link #runTimers}; a new earlier timer cuts it short. */
+    private static final long MAX_TIMER_WAIT_NANOS = 1_000_000_000L;
+    /** Seconds between two lines in the log that tell of queued requests. */
+    private static final double LOG_INTERVAL_SECONDS = 1;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition timerSet = lock.newCondition();
     private final Router router;
     private final Clock clock;
-    private final Consumer<String> releases;
-    private final AdmissionQueue<Owed> intake;
-    private final DoubleSupplier lag;
+    private final Consumer<String> cacheReleases;
+    private final DoubleSupplier schedulingLag;
     private final RoutingSettings settings;
-    private int waited;
-    private int givenUp;
-    private double longestLag;
-    private double toldAt;
-    private final Map<String, Owed> owed = new HashMap<>();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
+    private final AdmissionQueue<PendingRequest> admissionQueue;
+    private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
+    private final PriorityQueue<ScheduledTimer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledTimer::at));
+    private int queuedSinceLog;
+    private int rejectedSinceLog;
+    private double maxSchedulingLag;
+    private double loggedAt;
 
-    /** A request that has steps to come. */
-    private final class Owed {
-        final Queue<RoutingDecision> steps = new ArrayDeque<>();
-        final Condition ready = lock.newCondition();
-        double sentAt;
-        int sends;
-        boolean gone;
-        boolean in;
-    }
-
-    private record Due(double at, long token) {}
+    private record ScheduledTimer(double at, long token) {}
 
     /**
-     * Creates the decisions of one gateway; {@code releases} is told ids whose held state is let go, {@code lag} gives
-     * the seconds by which this process is behind; over {@code mostLag} requests wait.
+     * Creates the decisions of one gateway.
+     *
+     * @param seed of the policy's random numbers
+     * @param cacheReleases told the ids of requests whose KV cache is to be released; must not block
+     * @param schedulingLag seconds by which this process is behind
+     * @param maxSchedulingLag lag above which requests wait before anything is done for them
      */
     public BlockingRequestRouter(
             RoutingSettings settings,
             long seed,
             Clock clock,
-            Consumer<String> releases,
-            DoubleSupplier lag,
-            double mostLag) {
+            Consumer<String> cacheReleases,
+            DoubleSupplier schedulingLag,
+            double maxSchedulingLag) {
         this.settings = settings;
-        this.lag = lag;
-        this.intake = new AdmissionQueue<>(mostLag);
+        this.schedulingLag = schedulingLag;
+        this.admissionQueue = new AdmissionQueue<>(maxSchedulingLag);
         this.router = new RoutingPolicy(settings, seed);
         this.clock = clock;
-        this.releases = releases;
+        this.cacheReleases = cacheReleases;
     }
 
     @Override
     public RoutingDecision nextDecision(Request request) throws InterruptedException {
         lock.lock();
         try {
-            Owed entry = owed.get(request.id());
-            if (entry == null) {
-                entry = new Owed();
-                owed.put(request.id(), entry);
-                RoutingDecision instead = letIn(entry, request);
-                if (instead != null) {
-                    owed.remove(request.id());
-                    return instead;
-                }
-                tell(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
-                        request.id(),
-                        request.serviceClass(),
-                        request.tenant(),
-                        request.session(),
-                        request.deadline(),
-                        0,
-                        request.prefix(),
-                        request.promptTokens(),
-                        request.prefixTokens(),
-                        request.maxOutputTokens(),
-                        request.retry(),
-                        request.returned(),
-                        request.eligible())));
-            }
-            while (entry.steps.isEmpty() && !entry.gone) {
-                entry.ready.await();
-            }
-            RoutingDecision step = entry.gone ? new RoutingDecision.Discard() : entry.steps.poll();
-            if (entry.gone && entry.steps.peek() instanceof RoutingDecision.Forward unsent) {
-                // Decided but never made: the module would count it as out at that engine for good.
-                tell(new RoutingEvent.AttemptEnded(
-                        request.id(),
-                        entry.sends - 1,
-                        unsent.engine(),
-                        RoutingEvent.Status.NOT_SENT,
-                        0,
-                        true,
-                        0,
-                        Map.of()));
+            PendingRequest known = pendingRequests.get(request.id());
+            if (known != null) {
+                return awaitDecision(request.id(), known);
             }
-            if (!(step instanceof RoutingDecision.Forward)) {
-                owed.remove(request.id());
+            PendingRequest pending = new PendingRequest(lock.newCondition());
+            pendingRequests.put(request.id(), pending);
+            Optional<RoutingDecision> instead = awaitAdmission(pending, request);
+            if (instead.isPresent()) {
+                pendingRequests.remove(request.id());
+                return instead.get();
             }
-            return step;
+            handle(new RoutingEvent.RequestArrived(routingRequest(request)));
+            return awaitDecision(request.id(), pending);
         } finally {
             lock.unlock();
         }
     }
 
     /** Waits until this process can follow one more request; what to do instead where that takes too long. */
-    private RoutingDecision letIn(Owed entry, Request request) throws InterruptedException {
-        entry.in = intake.isOpen(lag.getAsDouble());
-        if (entry.in) {
-            return null;
+    private Optional<RoutingDecision> awaitAdmission(PendingRequest pending, Request request)
+            throws InterruptedException {
+        if (admissionQueue.isOpen(schedulingLag.getAsDouble())) {
+            pending.admit();
+            return Optional.empty();
         }
         double now = clock.now();
         double objective = settings.classes().get(request.serviceClass()).aim();
         double until = now + AdmissionQueue.maxWaitSeconds(objective, request.deadline() - now);
-        intake.add(entry);
-        while (!entry.in && !entry.gone && clock.now() < until) {
-            entry.ready.awaitNanos((long) ((until - clock.now()) * 1e9) + 1);
+        admissionQueue.add(pending);
+        while (!pending.isAdmitted() && !pending.isDisconnected() && clock.now() < until) {
+            pending.awaitAdmission(nanos(until - clock.now()));
         }
-        longestLag = Math.max(longestLag, lag.getAsDouble());
-        waited++;
-        if (!entry.in) {
-            intake.remove(entry);
-            givenUp++;
+        maxSchedulingLag = Math.max(maxSchedulingLag, schedulingLag.getAsDouble());
+        queuedSinceLog++;
+        if (!pending.isAdmitted()) {
+            admissionQueue.remove(pending);
+            rejectedSinceLog++;
         }
-        return entry.gone ? new RoutingDecision.Discard() : entry.in ? null : new RoutingDecision.Reject(0);
+        if (pending.isDisconnected()) {
+            return Optional.of(new RoutingDecision.Discard());
+        }
+        return pending.isAdmitted() ? Optional.empty() : Optional.of(new RoutingDecision.Reject(0));
     }
 
-    /** Looks at how far this process is behind, and lets in what waited; to be called at even times. */
-    public void pulse() {
+    private RoutingDecision awaitDecision(String id, PendingRequest pending) throws InterruptedException {
+        RoutingDecision decision = pending.awaitDecision();
+        // Decided but never made: the policy would count it as in flight at that engine for good.
+        pending.unusedForward()
+                .ifPresent(forward -> handle(new RoutingEvent.AttemptEnded(
+                        id,
+                        pending.latestAttempt(),
+                        forward.engine(),
+                        RoutingEvent.Status.NOT_SENT,
+                        0,
+                        true,
+                        0,
+                        Map.of())));
+        if (!(decision instanceof RoutingDecision.Forward)) {
+            pendingRequests.remove(id);
+        }
+        return decision;
+    }
+
+    private static RoutingEvent.Request routingRequest(Request request) {
+        return new RoutingEvent.Request(
+                request.id(),
+                request.serviceClass(),
+                request.tenant(),
+                request.session(),
+                request.deadline(),
+                0,
+                request.prefix(),
+                request.promptTokens(),
+                request.prefixTokens(),
+                request.maxOutputTokens(),
+                request.retry(),
+                request.returned(),
+                request.eligible());
+    }
+
+    /** Admits what waits as far as this process has caught up; to be called at even times. */
+    public void admitQueued() {
         lock.lock();
         try {
-            for (int left = intake.admissible(lag.getAsDouble()); left > 0; left--) {
-                Owed entry = intake.next();
-                entry.in = true;
-                entry.ready.signal();
-            }
-            if (waited > 0 && clock.now() - toldAt > TELL_EVERY) {
-                LOG.warn("event=behind waited={} given_up={} lag={}", waited, givenUp, Seconds.text(longestLag));
-                toldAt = clock.now();
-                waited = 0;
-                givenUp = 0;
-                longestLag = 0;
+            for (int left = admissionQueue.admissible(schedulingLag.getAsDouble()); left > 0; left--) {
+                admissionQueue.next().admit();
             }
+            logSchedulingLag();
         } finally {
             lock.unlock();
         }
     }
 
+    private void logSchedulingLag() {
+        if (queuedSinceLog == 0 || clock.now() - loggedAt <= LOG_INTERVAL_SECONDS) {
+            return;
+        }
+        LOG.warn(
+                "event=scheduling_lag queued={} rejected={} lag={}",
+                queuedSinceLog,
+                rejectedSinceLog,
+                Seconds.text(maxSchedulingLag));
+        loggedAt = clock.now();
+        queuedSinceLog = 0;
+        rejectedSinceLog = 0;
+        maxSchedulingLag = 0;
+    }
+
     @Override
     public void firstToken(Attempt attempt) {
+        String id = attempt.request().id();
         lock.lock();
         try {
-            tell(new RoutingEvent.FirstTokenReceived(
-                    attempt.request().id(),
-                    attempt.number(),
-                    attempt.engine().id(),
-                    elapsed(owed.get(attempt.request().id()))));
+            double elapsed = secondsSinceDecision(pendingRequests.get(id));
+            handle(new RoutingEvent.FirstTokenReceived(
+                    id, attempt.number(), attempt.engine().id(), elapsed));
         } finally {
             lock.unlock();
         }
@@ -195,17 +206,16 @@
 
     @Override
     public void attemptEnded(Attempt attempt, Outcome outcome, boolean last) {
+        String id = attempt.request().id();
         lock.lock();
         try {
-            Owed entry = last
-                    ? owed.remove(attempt.request().id())
-                    : owed.get(attempt.request().id());
-            tell(new RoutingEvent.AttemptEnded(
-                    attempt.request().id(),
+            PendingRequest pending = last ? pendingRequests.remove(id) : pendingRequests.get(id);
+            handle(new RoutingEvent.AttemptEnded(
+                    id,
                     attempt.number(),
                     attempt.engine().id(),
                     status(outcome.ending()),
-                    elapsed(entry),
+                    secondsSinceDecision(pending),
                     last,
                     outcome.note(),
                     outcome.report()));
@@ -218,12 +228,11 @@
     public void clientDisconnected(String id) {
         lock.lock();
         try {
-            Owed entry = owed.get(id);
-            if (entry != null) {
-                entry.gone = true;
-                entry.ready.signal();
-                if (entry.in) {
-                    tell(new RoutingEvent.ClientDisconnected(id));
+            PendingRequest pending = pendingRequests.get(id);
+            if (pending != null) {
+                pending.disconnect();
+                if (pending.isAdmitted()) {
+                    handle(new RoutingEvent.ClientDisconnected(id));
                 }
             }
         } finally {
@@ -233,42 +242,51 @@
 
     @Override
     public void endpointsUpdated(Scope scope, List<Engine> engines) {
-        List<RoutingEvent.Endpoint> members = engines.stream()
-                .map(e -> new RoutingEvent.Endpoint(
-                        e.id(),
-                        e.zone(),
-                        e.kind(),
-                        e.cell(),
-                        RoutingEvent.Lifecycle.valueOf(e.state().name()),
-                        e.weight(),
-                        e.startedAt()))
-                .toList();
+        List<RoutingEvent.Endpoint> endpoints =
+                engines.stream().map(BlockingRequestRouter::endpoint).toList();
         lock.lock();
         try {
-            tell(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.valueOf(scope.name()), members));
+            handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.valueOf(scope.name()), endpoints));
         } finally {
             lock.unlock();
         }
     }
 
-    /** Runs the timers that are due, or waits a while for the next one; to be called again and again. */
-    public void tick() throws InterruptedException {
+    private static RoutingEvent.Endpoint endpoint(Engine engine) {
+        return new RoutingEvent.Endpoint(
+                engine.id(),
+                engine.zone(),
+                engine.kind(),
+                engine.cell(),
+                RoutingEvent.Lifecycle.valueOf(engine.state().name()),
+                engine.weight(),
+                engine.startedAt());
+    }
+
+    /** Runs a timer that is due, or waits a while for the next one; to be called again and again. */
+    public void runTimers() throws InterruptedException {
         lock.lock();
         try {
-            Due next = timers.peek();
+            ScheduledTimer next = timers.peek();
             double left = next == null ? Double.POSITIVE_INFINITY : next.at - clock.now();
             if (left > 0) {
-                timerSet.awaitNanos((long) Math.min(TICK_MOST, left * 1e9 + 1));
+                timerSet.awaitNanos(Math.min(MAX_TIMER_WAIT_NANOS, nanos(left)));
             } else {
-                tell(new RoutingEvent.TimerFired(timers.poll().token));
+                timers.remove();
+                handle(new RoutingEvent.TimerFired(next.token));
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private double elapsed(Owed entry) {
-        return entry == null ? 0 : clock.now() - entry.sentAt;
+    /** At least one nanosecond, so that a wait never ends before its time by rounding. */
+    private static long nanos(double seconds) {
+        return (long) (seconds * NANOS_PER_SECOND + 1);
+    }
+
+    private double secondsSinceDecision(PendingRequest pending) {
+        return pending == null ? 0 : clock.now() - pending.decidedAt();
     }
 
     private static RoutingEvent.Status status(Outcome.Ending ending) {
@@ -279,44 +297,49 @@
         return RoutingEvent.Status.valueOf(ending.name());
     }
 
-    /** Hands the module one event at the time of now and sorts what it wants done. */
-    private void tell(RoutingEvent event) {
+    /** Hands the router one event at the time of now and carries its actions out; the lock is held. */
+    private void handle(RoutingEvent event) {
         List<RoutingAction> actions;
         try {
             actions = router.handle(clock.now(), event);
         } catch (RuntimeException e) {
-            // Without this a fault in the module would leave its request without an answer.
-            LOG.error("the decision module failed on {}", event, e);
-            actions = event instanceof RoutingEvent.RequestArrived arrival
-                    ? List.of(new RoutingAction.Fail(arrival.request().id()))
-                    : event instanceof RoutingEvent.AttemptEnded ended && !ended.closed()
-                            ? List.of(new RoutingAction.Fail(ended.id()))
-                            : List.of();
+            // Whatever fault the policy has: without this its request would never get an answer.
+            LOG.error("event=policy_error input={}", event, e);
+            actions = answerAfterError(event);
         }
-        for (RoutingAction action : actions) {
-            if (action instanceof RoutingAction.Forward send) {
-                step(send.id(), new RoutingDecision.Forward(send.engine(), send.timeout()));
-            } else if (action instanceof RoutingAction.Reject refuse) {
-                step(refuse.id(), new RoutingDecision.Reject(refuse.retryAfter()));
-            } else if (action instanceof RoutingAction.Fail fail) {
-                step(fail.id(), new RoutingDecision.Fail());
-            } else if (action instanceof RoutingAction.ReleaseCache release) {
-                releases.accept(release.id());
-            } else if (action instanceof RoutingAction.SetTimer timer) {
-                timers.add(new Due(clock.now() + timer.delay(), timer.token()));
-                timerSet.signal();
-            }
-            // Follow needs nothing: the discovery watch never ends.
+        actions.forEach(this::carryOut);
+    }
+
+    private static List<RoutingAction> answerAfterError(RoutingEvent event) {
+        if (event instanceof RoutingEvent.RequestArrived arrived) {
+            return List.of(new RoutingAction.Fail(arrived.request().id()));
+        }
+        if (event instanceof RoutingEvent.AttemptEnded ended && !ended.closed()) {
+            return List.of(new RoutingAction.Fail(ended.id()));
+        }
+        return List.of();
+    }
+
+    private void carryOut(RoutingAction action) {
+        if (action instanceof RoutingAction.Forward forward) {
+            decide(forward.id(), new RoutingDecision.Forward(forward.engine(), forward.timeout()));
+        } else if (action instanceof RoutingAction.Reject reject) {
+            decide(reject.id(), new RoutingDecision.Reject(reject.retryAfter()));
+        } else if (action instanceof RoutingAction.Fail fail) {
+            decide(fail.id(), new RoutingDecision.Fail());
+        } else if (action instanceof RoutingAction.ReleaseCache release) {
+            cacheReleases.accept(release.id());
+        } else if (action instanceof RoutingAction.SetTimer timer) {
+            timers.add(new ScheduledTimer(clock.now() + timer.delay(), timer.token()));
+            timerSet.signal();
         }
+        // WatchEndpoints needs nothing: the discovery watch never ends.
     }
 
-    private void step(String id, RoutingDecision step) {
-        Owed entry = owed.get(id);
-        if (entry != null) {
-            entry.steps.add(step);
-            entry.sentAt = clock.now();
-            entry.sends += step instanceof RoutingDecision.Forward ? 1 : 0;
-            entry.ready.signal();
+    private void decide(String id, RoutingDecision decision) {
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null) {
+            pending.decide(decision, clock.now());
         }
     }
 }
--- a/src/test/java/dunlinladder/routing/BlockingRequestRouterTest.java
+++ b/src/test/java/dunlinladder/routing/BlockingRequestRouterTest.java
@@ -58,10 +58,10 @@
     @Test
     void isDecidedWhenTheProcessHasCaughtUp() throws Exception {
         FutureTask<RoutingDecision> step = waiting();
-        decisions.pulse();
+        decisions.admitQueued();
         assertFalse(step.isDone());
         lag = 0;
-        decisions.pulse();
+        decisions.admitQueued();
         assertInstanceOf(RoutingDecision.Forward.class, step.get());
     }
 
@@ -71,7 +71,7 @@
         decisions.clientDisconnected("a");
         assertInstanceOf(RoutingDecision.Discard.class, step.get());
         lag = 0;
-        decisions.pulse();
+        decisions.admitQueued();
         assertInstanceOf(
                 RoutingDecision.Forward.class,
                 decisions.nextDecision(request(5)),
