--- a/src/main/java/dunlinladder/routing/AdmissionControl.java
+++ b/src/main/java/dunlinladder/routing/AdmissionControl.java
@@ -7,8 +7,7 @@
     private static final double MAX_WAIT_FRACTION = 0.8; // of the objective; the rest is for error
     private static final double MAX_WAIT_FRACTION_OVER_QUOTA = 0.5;
     private static final double DOUBT = 0.5; // part of that held back where the wait is guessed from a few answers
-    private static final double MAX_NEWS_STRETCH =
-            9; // more waits until news is old with hundreds of gateways: some 5 s
+    private static final double MAX_STALE_STRETCH = 9; // more waits until news is old, many gateways: some 5 s
     private static final double MIN_RETRY_AFTER_SECONDS = 0.1; // where next to nothing waits
 
     private final PolicyContext context;
@@ -41,7 +40,7 @@
      * news, and after an outage everything would be rejected for good.
      */
     boolean mustReject(RequestState request, EngineState engine) {
-        return !newsIsOld(engine) && expectedWait(request, engine) > maxWait(request);
+        return !isStale(engine) && expectedWait(request, engine) > maxWait(request);
     }
 
     private double maxWait(RequestState request) {
@@ -54,9 +53,9 @@
                 * (1 - DOUBT * context.unobservedLoad);
     }
 
-    private boolean newsIsOld(EngineState engine) {
-        double heardAt = context.seesAllLoad() ? engine.delaySampledAt : context.latency.heardAt(engine.role);
-        double oldAfter = OutlierDetector.PROBE_SECONDS * (1 + MAX_NEWS_STRETCH * context.unobservedLoad);
+    private boolean isStale(EngineState engine) {
+        double heardAt = context.seesAllLoad() ? engine.delayAt : context.latency.heardAt(engine.role);
+        double oldAfter = OutlierDetector.PROBE_SECONDS * (1 + MAX_STALE_STRETCH * context.unobservedLoad);
         return engine.unanswered.isEmpty() && context.now - heardAt > oldAfter;
     }
 
--- a/src/main/java/dunlinladder/routing/AdmissionQueue.java
+++ b/src/main/java/dunlinladder/routing/AdmissionQueue.java
@@ -10,18 +10,18 @@
 final class AdmissionQueue<T> {
     private static final double MAX_WAIT_FRACTION = 0.5; // of the objective, or of the time left if that is less
 
-    private final double maxLagSeconds;
+    private final double maxSchedulingLag;
     private final Queue<T> waiting = new ArrayDeque<>();
-    private int step = 1;
+    private int batchSize = 1;
 
-    /** Above {@code maxLagSeconds} nothing is admitted. */
-    AdmissionQueue(double maxLagSeconds) {
-        this.maxLagSeconds = maxLagSeconds;
+    /** Above {@code maxSchedulingLag} nothing is admitted. */
+    AdmissionQueue(double maxSchedulingLag) {
+        this.maxSchedulingLag = maxSchedulingLag;
     }
 
     /** Whether a request that comes now is admitted at once; else it waits behind those that already do. */
-    boolean isOpen(double lagSeconds) {
-        return waiting.isEmpty() && lagSeconds <= maxLagSeconds;
+    boolean isOpen(double schedulingLag) {
+        return waiting.isEmpty() && schedulingLag <= maxSchedulingLag;
     }
 
     /** Seconds for which a request may wait here before it is rejected. */
@@ -38,13 +38,13 @@
     }
 
     /** One look at the lag, at even times: how many of those that wait are to be admitted now. */
-    int admissible(double lagSeconds) {
-        if (lagSeconds > maxLagSeconds) {
-            step = 1;
+    int admissible(double schedulingLag) {
+        if (schedulingLag > maxSchedulingLag) {
+            batchSize = 1;
             return 0;
         }
-        int admissible = Math.min(step, waiting.size());
-        step = waiting.size() > admissible ? 2 * step : 1;
+        int admissible = Math.min(batchSize, waiting.size());
+        batchSize = waiting.size() > admissible ? 2 * batchSize : 1;
         return admissible;
     }
 
--- a/src/main/java/dunlinladder/routing/AttemptState.java
+++ b/src/main/java/dunlinladder/routing/AttemptState.java
@@ -36,7 +36,7 @@
     /** Streams as which its stream counts. */
     double streamWeight;
     /** Tokens of KV cache that its stream may hold. */
-    double heldTokens;
+    double kvTokens;
     /** Clock time of the first token, in seconds; NaN before it. */
     double firstTokenAt = Double.NaN;
 
@@ -71,7 +71,7 @@
         if (stage.decodes()) {
             engine.streams--;
             engine.streamWeight = engine.streams == 0 ? 0 : engine.streamWeight - streamWeight;
-            engine.heldTokens = engine.streams == 0 ? 0 : engine.heldTokens - heldTokens;
+            engine.kvTokens = engine.streams == 0 ? 0 : engine.kvTokens - kvTokens;
         }
     }
 }
--- a/src/main/java/dunlinladder/routing/DecodeSelector.java
+++ b/src/main/java/dunlinladder/routing/DecodeSelector.java
@@ -11,21 +11,20 @@
 record DecodeSelector(PolicyContext context, OutlierDetector outliers, EngineCost cost, EngineRanking ranking) {
     private static final double CLEAR_RATIO = 1.5; // "clearly more" streams: as a ratio ..
     private static final double CLEAR_STREAMS = 2; // .. and in streams
-    private static final double FAR_MULTIPLE =
-            1.5; // how many times that for another zone; the cache crosses a slow link
+    private static final double FAR_MULTIPLE = 1.5; // how many times that for another zone, over a slower link
 
     Optional<EngineState> select(RequestState request) {
         List<EngineState> decode = outliers.candidates(request, engine -> engine.role == Role.DECODE);
         List<EngineState> engines =
                 decode.isEmpty() ? outliers.candidates(request, engine -> engine.role == Role.MIXED) : decode;
-        EngineState holder = request.cacheHolder;
+        EngineState source = request.cacheEngine;
         boolean draws = context.random.nextDouble() < context.unobservedLoad;
-        Optional<EngineState> drawn = draws ? draw(holder, engines) : Optional.empty();
+        Optional<EngineState> drawn = draws ? draw(source, engines) : Optional.empty();
         if (drawn.isPresent()) {
             return drawn;
         }
-        Optional<EngineState> inRack = fewestStreams(engines, engine -> engine.rack() == holder.rack());
-        Optional<EngineState> inZone = fewestStreams(engines, engine -> engine.zone() == holder.zone());
+        Optional<EngineState> inRack = fewestStreams(engines, engine -> engine.rack() == source.rack());
+        Optional<EngineState> inZone = fewestStreams(engines, engine -> engine.zone() == source.zone());
         Optional<EngineState> anywhere = fewestStreams(engines, engine -> true);
         return nearer(nearer(inRack, inZone, 1), anywhere, FAR_MULTIPLE);
     }
@@ -44,15 +43,15 @@
      * with some to spare, of the zone first. Guards against racks with many prefill and few decode engines. Can harm
      * when the zones' traffic is far from even.
      */
-    private Optional<EngineState> draw(EngineState holder, List<EngineState> engines) {
-        double prefills = context.fleet.prefillFraction(holder.rack());
-        if (context.random.nextDouble() * prefills <= context.fleet.decodeFraction(holder.rack())) {
-            return fewestStreams(engines, engine -> engine.rack() == holder.rack());
+    private Optional<EngineState> draw(EngineState source, List<EngineState> engines) {
+        double prefills = context.fleet.prefillFraction(source.rack());
+        if (context.random.nextDouble() * prefills <= context.fleet.decodeFraction(source.rack())) {
+            return fewestStreams(engines, engine -> engine.rack() == source.rack());
         }
-        List<EngineState> home = where(engines, engine -> engine.zone() == holder.zone());
-        double surplus = context.random.nextDouble() * context.fleet.surplus(holder.zone());
+        List<EngineState> home = where(engines, engine -> engine.zone() == source.zone());
+        double surplus = context.random.nextDouble() * context.fleet.surplus(source.zone());
         boolean staysInZone = surplus < context.fleet.spare(home);
-        List<EngineState> from = staysInZone ? home : where(engines, engine -> engine.zone() != holder.zone());
+        List<EngineState> from = staysInZone ? home : where(engines, engine -> engine.zone() != source.zone());
         double left = context.random.nextDouble() * context.fleet.spare(from);
         for (EngineState drawn : from) {
             left -= context.fleet.spare(drawn);
--- a/src/main/java/dunlinladder/routing/EndpointTable.java
+++ b/src/main/java/dunlinladder/routing/EndpointTable.java
@@ -28,7 +28,7 @@
         for (EngineState engine : List.copyOf(context.engines.values())) {
             if (engine.endpoint.lifecycle() == Lifecycle.LEFT || all && !listed.contains(engine.id)) {
                 context.engines.remove(engine.id); // others come under new ids: what is kept would grow for ever
-                context.prefixCache.forget(engine);
+                context.prefixCache.evict(engine);
             }
         }
         context.fleet.invalidate();
@@ -39,7 +39,7 @@
         boolean known = engine.endpoint != null;
         boolean restarted = known && endpoint.startedAt() > engine.endpoint.startedAt();
         if (restarted) {
-            engine.forgetProcess();
+            engine.resetProcess();
         }
         if (restarted || !known) {
             engine.cachedPartOfOthers = endpoint.startedAt() > 0 ? 0 : 1; // long at work it caches what all send
--- a/src/main/java/dunlinladder/routing/EngineCost.java
+++ b/src/main/java/dunlinladder/routing/EngineCost.java
@@ -10,8 +10,7 @@
     private static final double PREFILL_BASE = 0.5; // prefills that each costs whatever its length
     private static final double MISSED_WEIGHT = 2; // of a token to read anew: it also pushes out what is cached
     private static final double REPORT_WEIGHT = 0.3; // of prefills queued by report: late, so below own ones
-    private static final double RACK_WEIGHT =
-            2; // prefills at double the mean streams; keeps the pair near, yet balanced
+    private static final double RACK_WEIGHT = 2; // prefills at double the mean streams; the pair near, yet balanced
     private static final double ZONE_MARGIN = 2; // prefills by which an engine of another zone must be better
     private static final double ZONE_MARGIN_UNSEEN = 0.5; // the same, the less the less is seen
 
--- a/src/main/java/dunlinladder/routing/EngineRanking.java
+++ b/src/main/java/dunlinladder/routing/EngineRanking.java
@@ -10,8 +10,7 @@
 
 /** The best of several engines: by cost where own counts show it, else in an order that all gateways follow. */
 record EngineRanking(PolicyContext context) {
-    private static final double HOME_ROOM =
-            0.7; // of an even part, for which a zone's engines are taken; traffic is uneven
+    private static final double HOME_CAPACITY = 0.7; // of an even part; the traffic of zones is uneven
     private static final double PREFIX_SPREAD = 3; // engines for each that a prefix's part of the traffic needs
 
     /**
@@ -21,7 +20,7 @@
      */
     List<EngineState> atHome(RequestState request, List<EngineState> engines) {
         List<EngineState> home = where(engines, engine -> engine.zone() == context.settings.zone());
-        double part = HOME_ROOM * home.size() * context.fleet.zoneCount() / Math.max(1, engines.size());
+        double part = HOME_CAPACITY * home.size() * context.fleet.zoneCount() / Math.max(1, engines.size());
         return !context.seesAllLoad() && drawBySession(request, context.settings.zone()) < part ? home : engines;
     }
 
@@ -31,7 +30,7 @@
     }
 
     /** The least busy; where own counts say little, what differs by less than half a request is equal. */
-    Optional<EngineState> leastBusy(
+    Optional<EngineState> lightest(
             RequestState request, List<EngineState> engines, ToDoubleFunction<EngineState> load) {
         if (context.seesAllLoad()) {
             return cheapest(engines, load, engine -> engine.prefillTokens, context.load::queuedKilotokens);
@@ -43,13 +42,13 @@
 
     /**
      * Between equals, gateways that cannot talk settle on the same engines: each prefix has an order, and the first of
-     * it cache it, the more the larger its share; each session has its own among them. Guards against one engine
+     * it cache it, the more the larger its spread; each session has its own among them. Guards against one engine
      * getting a popular prefix from all. Can harm when shares shift quickly.
      */
     Optional<EngineState> inSharedOrder(RequestState request, List<EngineState> engines) {
         long prefix = request.details.prefix();
-        double share = context.unobservedLoad * PREFIX_SPREAD * context.prefixFrequency.fraction(prefix);
-        long count = prefix == 0 ? engines.size() : 1 + (long) (share * engines.size());
+        double spread = context.unobservedLoad * PREFIX_SPREAD * context.prefixFrequency.fraction(prefix);
+        long count = prefix == 0 ? engines.size() : 1 + (long) (spread * engines.size());
         return engines.stream().sorted(byHash(prefix)).limit(count).min(byHash(request.details.session()));
     }
 
@@ -59,7 +58,7 @@
 
     private static double hash(long key, int salt) {
         long mixed = (key ^ salt * 0x9E3779B97F4A7C15L) * 0xBF58476D1CE4E5B9L; // the multipliers of SplitMix64
-        return mixed ^ mixed >>> 32;
+        return mixed ^ mixed >>> Integer.SIZE;
     }
 
     /** The cheapest, then by the ties; one at random among equals. */
--- a/src/main/java/dunlinladder/routing/EngineState.java
+++ b/src/main/java/dunlinladder/routing/EngineState.java
@@ -30,11 +30,11 @@
     double prefillTokens;
     int streams;
     double streamWeight;
-    double heldTokens;
+    double kvTokens;
     /** Smoothed answer delay in seconds over what the request's size explains; NaN before the first sample. */
     double smoothedDelay = Double.NaN;
 
-    double delaySampledAt;
+    double delayAt;
     /** The delay now, its multiple of the peers' median and the relative speed, as of the last comparison. */
     double currentDelay = Double.NaN;
 
@@ -44,12 +44,15 @@
     double cachedPartOfSent = 1;
 
     double cachedPartOfOthers;
-    /** How long its streams last against the usual, as of {@code streamPaceAt}; see {@link StreamDurationStats}. */
-    double streamPace = 1;
+    /**
+     * How long its streams last against the usual, as of {@code streamDurationRatioAt}; see
+     * {@link StreamDurationStats}.
+     */
+    double streamDurationRatio = 1;
 
-    double streamPaceAt;
+    double streamDurationRatioAt;
     /** Streams sent here lately, oldest first: the latest report may not show them yet. */
-    final ArrayDeque<AttemptState> recentStreams = new ArrayDeque<>();
+    final ArrayDeque<AttemptState> streamsSinceReport = new ArrayDeque<>();
 
     final DecayingCounter failures = new DecayingCounter(FAILURE_FADE_SECONDS);
     int consecutiveFailures;
@@ -115,22 +118,23 @@
 
     /** Notes a stream sent here; what was sent before reports that still count is dropped. */
     void streamSent(AttemptState attempt) {
-        while (!recentStreams.isEmpty() && attempt.sentAt - recentStreams.getFirst().sentAt > REPORT_VALID_SECONDS) {
-            recentStreams.removeFirst();
+        while (!streamsSinceReport.isEmpty()
+                && attempt.sentAt - streamsSinceReport.getFirst().sentAt > REPORT_VALID_SECONDS) {
+            streamsSinceReport.removeFirst();
         }
-        recentStreams.addLast(attempt);
+        streamsSinceReport.addLast(attempt);
     }
 
     /** Tokens that streams sent here since then may hold. */
     double tokensSentSince(double from) {
-        return recentStreams.stream()
+        return streamsSinceReport.stream()
                 .filter(attempt -> attempt.sentAt >= from)
-                .mapToDouble(attempt -> attempt.heldTokens)
+                .mapToDouble(attempt -> attempt.kvTokens)
                 .sum();
     }
 
     /** A new process under the same id: what was known of the old one says nothing of it. */
-    void forgetProcess() {
+    void resetProcess() {
         smoothedDelay = Double.NaN;
         failures.reset();
         cachedPartOfSent = 1;
--- a/src/main/java/dunlinladder/routing/KvMemoryEstimator.java
+++ b/src/main/java/dunlinladder/routing/KvMemoryEstimator.java
@@ -25,7 +25,7 @@
             return engine.reportedMemory();
         }
         return engine.kvCapacityTokens > 0
-                ? engine.heldTokens * context.settings.balancers() / engine.kvCapacityTokens
+                ? engine.kvTokens * context.settings.balancers() / engine.kvCapacityTokens
                 : 0;
     }
 }
--- a/src/main/java/dunlinladder/routing/LatencyStatistics.java
+++ b/src/main/java/dunlinladder/routing/LatencyStatistics.java
@@ -17,7 +17,7 @@
     /** Weight of the latest delay of an engine: about the last five answers count. */
     private static final double DELAY_WEIGHT = 0.2;
     /** Seconds in which a delay not seen again fades to a third of its distance from the peers' median. */
-    private static final double SAMPLE_FADE_SECONDS = 5;
+    private static final double DELAY_FADE_SECONDS = 5;
     /** Latest answers of a role whose median is the usual delay where engines are seldom met. */
     private static final int LATEST_ANSWERS = 7;
     /** Seconds after which such an answer is forgotten once a new one comes: a good probe opens again. */
@@ -54,7 +54,7 @@
 
     /** Takes in the delay of one answer. */
     void record(EngineState engine, double delay) {
-        engine.delaySampledAt = context.now;
+        engine.delayAt = context.now;
         ArrayDeque<Answer> latest = latestAnswers.get(engine.role.ordinal());
         latest.addLast(new Answer(context.now, delay));
         while (latest.size() > LATEST_ANSWERS || context.now - latest.getFirst().at > LATEST_VALID_SECONDS) {
@@ -107,7 +107,7 @@
     /** What its answers now take, or its oldest unanswered attempt; old samples fade, so that it returns. */
     private double current(EngineState engine) {
         double usual = median(engine.role);
-        double fade = Math.exp((engine.delaySampledAt - context.now) / SAMPLE_FADE_SECONDS);
+        double fade = Math.exp((engine.delayAt - context.now) / DELAY_FADE_SECONDS);
         double delay = usual + (engine.smoothedDelay - usual) * fade;
         for (AttemptState attempt : engine.unanswered) {
             double age = attempt.relativeAge(context.now);
--- a/src/main/java/dunlinladder/routing/LoadEstimator.java
+++ b/src/main/java/dunlinladder/routing/LoadEstimator.java
@@ -14,18 +14,18 @@
 
     private static final double INITIAL_PREFILL_TOKENS = 1000;
     private static final double INITIAL_OUTPUT_TOKENS = 100;
-    private static final double INITIAL_HELD_TOKENS = 3000;
+    private static final double INITIAL_KV_TOKENS = 3000;
     /** Divisor that keeps the sizes of usual prefills near one. */
     private static final double SIZE_SCALE = 1.5;
     /** Weight of the backlog's wait; the peak seen of late may be under what the engines can do. */
     private static final double BACKLOG_WEIGHT = 0.75;
     /** Seconds after the first answer before which rates say nothing of the backlog. */
-    private static final double BACKLOG_BLIND_SECONDS = 2 * ThroughputMeter.WINDOW_SECONDS;
+    private static final double BACKLOG_WARMUP_SECONDS = 2 * ThroughputMeter.WINDOW_SECONDS;
 
     private final PolicyContext context;
     private final Ewma prefillTokens = new Ewma(INITIAL_PREFILL_TOKENS, MEAN_WEIGHT);
     private final Ewma outputTokens = new Ewma(INITIAL_OUTPUT_TOKENS, MEAN_WEIGHT);
-    private final Ewma heldTokens = new Ewma(INITIAL_HELD_TOKENS, MEAN_WEIGHT);
+    private final Ewma kvTokens = new Ewma(INITIAL_KV_TOKENS, MEAN_WEIGHT);
 
     LoadEstimator(PolicyContext context) {
         this.context = context;
@@ -77,15 +77,14 @@
     private void streamStarted(AttemptState attempt) {
         EngineState engine = attempt.engine;
         double output = attempt.request.outputTokens();
-        attempt.heldTokens = attempt.request.details.promptTokens() + output;
-        heldTokens.add(attempt.heldTokens);
-        double relative = context.seesAllLoad()
-                ? attempt.heldTokens / heldTokens.mean()
-                : output / Math.max(1, outputTokens.mean());
+        attempt.kvTokens = attempt.request.details.promptTokens() + output;
+        kvTokens.add(attempt.kvTokens);
+        double relative =
+                context.seesAllLoad() ? attempt.kvTokens / kvTokens.mean() : output / Math.max(1, outputTokens.mean());
         attempt.streamWeight = (1 + relative) / 2;
         engine.streams++;
         engine.streamWeight += attempt.streamWeight;
-        engine.heldTokens += attempt.heldTokens;
+        engine.kvTokens += attempt.kvTokens;
         engine.streamSent(attempt);
     }
 
@@ -123,7 +122,7 @@
     double backlogSeconds(Predicate<EngineState> isOutlier) {
         ThroughputMeter throughput = context.throughput;
         double rate = throughput.peak(Role.DECODE) + throughput.peak(Role.MIXED);
-        if (context.now - throughput.firstAt() < BACKLOG_BLIND_SECONDS) {
+        if (context.now - throughput.firstAt() < BACKLOG_WARMUP_SECONDS) {
             return 0;
         }
         int unstarted = 0;
--- a/src/main/java/dunlinladder/routing/MixedEngineSelector.java
+++ b/src/main/java/dunlinladder/routing/MixedEngineSelector.java
@@ -7,8 +7,8 @@
 /** Which mixed engine could take a request whole, and when one should. */
 record MixedEngineSelector(PolicyContext context, OutlierDetector outliers, EngineCost cost, EngineRanking ranking) {
     private static final double MAX_STREAMS_FRACTION = 0.6; // of a decode engine's mean streams; it also prefills
-    private static final double MAX_PACE = 1.6; // times the usual stream; past it what it prefills slows its streams
-    private static final double JAM_FRACTION = 0.15; // of the objective, at which prefill engines are jammed
+    private static final double MAX_DURATION_RATIO = 1.6; // of streams; past it what it prefills slows them
+    private static final double SATURATED_FRACTION = 0.15; // of the objective, at which prefill engines are jammed
     private static final double LATE_FRACTION = 0.5; // of the objective, at which an answer is late anyway
     private static final double MAX_DELAY_RATIO = 0.5; // of the jammed engine's delay that a mixed one may take
 
@@ -18,7 +18,7 @@
                 request,
                 outliers.candidates(
                         request, engine -> engine.role == Role.MIXED || decodeToo && engine.role == Role.DECODE));
-        return ranking.leastBusy(request, engines, engine -> load(request, engine));
+        return ranking.lightest(request, engines, engine -> load(request, engine));
     }
 
     private double load(RequestState request, EngineState engine) {
@@ -31,7 +31,7 @@
      * all of them have, by session: the next turn then finds what was cached.
      */
     boolean isDue(RequestState request, EngineState mixed) {
-        if (mixed.role != Role.MIXED || context.streamDurations.pace(mixed) >= MAX_PACE) {
+        if (mixed.role != Role.MIXED || context.streamDurations.ratio(mixed) >= MAX_DURATION_RATIO) {
             return false;
         }
         double mean = context.fleet.meanDecodeLoad();
@@ -50,9 +50,9 @@
         double jammed = context.latency.expected(request, prefill) + context.latency.median(Role.DECODE);
         return context.seesAllLoad()
                 && mixed.role == Role.MIXED
-                && jammed > JAM_FRACTION * objective
+                && jammed > SATURATED_FRACTION * objective
                 && context.latency.expected(request, mixed) < jammed * MAX_DELAY_RATIO
                 && context.memory.fractionNow(mixed) < EngineCost.MEMORY_FREE
-                && (context.streamDurations.pace(mixed) < MAX_PACE || jammed > LATE_FRACTION * objective);
+                && (context.streamDurations.ratio(mixed) < MAX_DURATION_RATIO || jammed > LATE_FRACTION * objective);
     }
 }
--- a/src/main/java/dunlinladder/routing/OutlierDetector.java
+++ b/src/main/java/dunlinladder/routing/OutlierDetector.java
@@ -17,8 +17,7 @@
     private static final double OUTLIER_SLOWNESS = 4; // times the peers' median delay
     private static final int OUTLIER_FAILURES = 2; // in a row; one where engines are seldom met
     private static final double MAX_EJECTED_FRACTION = 0.5; // of a role; past it the evidence speaks of all, not of one
-    private static final double FULL_SECONDS =
-            0.1; // for which an engine that was full gets nothing while others are not
+    private static final double FULL_SECONDS = 0.1; // for which a full engine gets nothing while others are not
 
     private final PolicyContext context;
     private final RetryPolicy retries;
@@ -40,8 +39,8 @@
         List<EngineState> fallback = reached.isEmpty() ? open : reached;
         boolean tooManyEjected = open.size() - healthy.size() > open.size() * MAX_EJECTED_FRACTION;
         List<EngineState> untried =
-                where(tooManyEjected ? fallback : healthy, engine -> !request.triedEngines.contains(engine));
-        boolean anyUntried = !untried.isEmpty() || request.triedEngines.isEmpty();
+                where(tooManyEjected ? fallback : healthy, engine -> !request.attemptedEngines.contains(engine));
+        boolean anyUntried = !untried.isEmpty() || request.attemptedEngines.isEmpty();
         return anyUntried ? untried : where(fallback, engine -> !isOutlier(engine));
     }
 
--- a/src/main/java/dunlinladder/routing/PrefillSelector.java
+++ b/src/main/java/dunlinladder/routing/PrefillSelector.java
@@ -11,18 +11,16 @@
     private static final double EVEN_PREFILLS = 0.5; // by which engines count as equal, so that all follow one order
     private static final double BUSIER_RATIO = 2; // an engine with the prefix is "clearly busier" past this ratio ..
     private static final double BUSIER_PREFILLS = 3; // .. and these prefills
-    private static final double BUSIER_UNSEEN =
-            2; // fewer where next to nothing is seen: own prefills are then rarely many
+    private static final double BUSIER_UNSEEN = 2; // fewer where own counts show nothing
     private static final double MIN_CACHED_FRACTION = 0.2; // of the prompt; less saves too little work
-    static final double MAX_BEHIND =
-            0.3; // fraction of the objective that an engine may take although another is quicker
+    static final double MAX_LATE_FRACTION = 0.3; // of the objective, that the slower of two may take
 
     Optional<EngineState> select(RequestState request) {
         List<EngineState> engines =
                 ranking.atHome(request, outliers.candidates(request, engine -> engine.role == Role.PREFILL));
-        Optional<EngineState> leastBusy = ranking.leastBusy(request, engines, cost::prefillLoad);
-        if (leastBusy.isEmpty() || !context.seesAllLoad()) {
-            return leastBusy.flatMap(engine -> byCache(request, engines, engine));
+        Optional<EngineState> lightest = ranking.lightest(request, engines, cost::prefillLoad);
+        if (lightest.isEmpty() || !context.seesAllLoad()) {
+            return lightest.flatMap(engine -> byCache(request, engines, engine));
         }
         double min = engines.stream()
                 .mapToDouble(engine -> cost.prefill(request, engine))
@@ -37,9 +35,9 @@
      * are long. Guards against the jam in which engines lose what they cache. Can harm when one prefix is so popular
      * that its engines run at the ratio's edge.
      */
-    private Optional<EngineState> byCache(RequestState request, List<EngineState> engines, EngineState leastBusy) {
+    private Optional<EngineState> byCache(RequestState request, List<EngineState> engines, EngineState lightest) {
         double enough = MIN_CACHED_FRACTION * request.details.promptTokens();
-        List<EngineState> near = notClearlyBusier(request, engines, leastBusy);
+        List<EngineState> near = notClearlyBusier(request, engines, lightest);
         double max = near.stream()
                 .mapToDouble(engine -> context.prefixCache.cachedTokens(request, engine))
                 .max()
@@ -48,15 +46,15 @@
             List<EngineState> caching = where(near, engine -> context.prefixCache.cachedTokens(request, engine) >= max);
             return ranking.inSharedOrder(request, caching);
         }
-        return request.details.prefixTokens() >= enough ? ranking.inSharedOrder(request, near) : Optional.of(leastBusy);
+        return request.details.prefixTokens() >= enough ? ranking.inSharedOrder(request, near) : Optional.of(lightest);
     }
 
-    private List<EngineState> notClearlyBusier(RequestState request, List<EngineState> engines, EngineState leastBusy) {
-        boolean warmingUp = context.isWarmingUp(leastBusy);
+    private List<EngineState> notClearlyBusier(RequestState request, List<EngineState> engines, EngineState lightest) {
+        boolean warmingUp = context.isWarmingUp(lightest);
         double fewer = (warmingUp ? 1 : context.unobservedLoad) * BUSIER_UNSEEN;
-        double maxLoad = cost.prefillLoad(leastBusy) * BUSIER_RATIO + BUSIER_PREFILLS - fewer;
+        double maxLoad = cost.prefillLoad(lightest) * BUSIER_RATIO + BUSIER_PREFILLS - fewer;
         double maxDelay = warmingUp
-                ? Math.max(MAX_BEHIND * request.latencyObjective(), context.latency.expected(request, leastBusy))
+                ? Math.max(MAX_LATE_FRACTION * request.latencyObjective(), context.latency.expected(request, lightest))
                 : Double.POSITIVE_INFINITY;
         return where(
                 engines,
--- a/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
+++ b/src/main/java/dunlinladder/routing/PrefixCacheIndex.java
@@ -19,13 +19,13 @@
     /** The same for all engines of a role, where each is met seldom: the last ten answers of the role. */
     private static final double ROLE_WEIGHT = ENGINE_WEIGHT / 2;
 
-    record Turn(EngineState engine, double tokens, double at) {}
+    record LastPrompt(EngineState engine, double tokens, double at) {}
 
     private final PolicyContext context;
     /** By role: part of a prefix, 0 to 1, that its engines were found to hold. */
     private final Ewma[] cachedPart = new Ewma[Role.values().length];
 
-    final Map<Long, Turn> lastTurns = new LruMap<>(MAX_REMEMBERED);
+    final Map<Long, LastPrompt> lastPrompts = new LruMap<>(MAX_REMEMBERED);
     /** By prefix, then engine: clock time in seconds at which it was last sent. */
     final Map<Long, Map<EngineState, Double>> prefixesSent = new LruMap<>(MAX_REMEMBERED);
 
@@ -38,14 +38,14 @@
 
     /** The engine that had the session's last turn and probably still caches it. */
     Optional<EngineState> engineOfSession(long session) {
-        Turn last = lastTurns.get(session);
+        LastPrompt last = lastPrompts.get(session);
         return last != null && isBelieved(last.engine, last.at) ? Optional.of(last.engine) : Optional.empty();
     }
 
     /** Prompt tokens that an engine that prefills probably finds in its cache. */
     double cachedTokens(RequestState request, EngineState engine) {
         RoutingEvent.Request details = request.details;
-        Turn last = lastTurns.get(details.session());
+        LastPrompt last = lastPrompts.get(details.session());
         if (last != null && last.engine == engine && isBelieved(engine, last.at)) {
             return Math.min(last.tokens, details.promptTokens());
         }
@@ -73,10 +73,10 @@
     /** Notes a prefill at its send, so that the next request of the same session or prefix can follow it. */
     void record(AttemptState attempt) {
         RoutingEvent.Request details = attempt.request.details;
-        Turn last = lastTurns.get(details.session());
+        LastPrompt last = lastPrompts.get(details.session());
         attempt.sessionSent = last != null && last.engine == attempt.engine;
         attempt.prefixSent = prefixSent(details.prefix(), attempt.engine);
-        lastTurns.put(details.session(), new Turn(attempt.engine, details.promptTokens(), context.now));
+        lastPrompts.put(details.session(), new LastPrompt(attempt.engine, details.promptTokens(), context.now));
         if (details.prefix() != 0) {
             prefixesSent
                     .computeIfAbsent(details.prefix(), prefix -> new LinkedHashMap<>())
@@ -108,8 +108,8 @@
     }
 
     /** The engine has left for good. */
-    void forget(EngineState engine) {
-        lastTurns.values().removeIf(turn -> turn.engine == engine);
+    void evict(EngineState engine) {
+        lastPrompts.values().removeIf(turn -> turn.engine == engine);
         prefixesSent.values().forEach(sent -> sent.remove(engine));
         prefixesSent.values().removeIf(Map::isEmpty);
     }
--- a/src/main/java/dunlinladder/routing/RequestState.java
+++ b/src/main/java/dunlinladder/routing/RequestState.java
@@ -19,11 +19,11 @@
     /** Attempts without an outcome, by number. */
     final Map<Integer, AttemptState> inFlight = new LinkedHashMap<>();
     /** The prefill engine on which the KV cache waits, or null; read on the path of every event. */
-    EngineState cacheHolder;
+    EngineState cacheEngine;
     /** True while a KV cache may wait for it somewhere, whether an answer told of it or not. */
-    boolean cacheMayBeHeld;
+    boolean cacheMayRemain;
     /** Clock time in seconds at which the last attempt ended that tells how long a KV cache is held. */
-    double cacheHeldSince;
+    double cacheWaitsSince;
     /** Nothing is owed any more. */
     boolean ended;
     /** Its tenant was over its quota when it arrived. */
@@ -31,7 +31,7 @@
     /** The first attempt that may have run. */
     Optional<PossibleRun> possibleRun = Optional.empty();
     /** Engines that have failed it at this stage. */
-    final Set<EngineState> triedEngines = new LinkedHashSet<>();
+    final Set<EngineState> attemptedEngines = new LinkedHashSet<>();
 
     RequestState(RoutingEvent.Request details, RoutingSettings.ServiceClass serviceClass) {
         this.details = details;
@@ -48,7 +48,8 @@
 
     /** Seconds within which the first token is wanted, by the class and the prompt's length. */
     double latencyObjective() {
-        return serviceClass.aim() + serviceClass.aimPerKilotoken() * details.promptTokens() / 1000;
+        return serviceClass.aim()
+                + serviceClass.aimPerKilotoken() * details.promptTokens() / LoadEstimator.TOKENS_PER_KILOTOKEN;
     }
 
     /** Tokens that the answer may take: from the hint where there is one, else the ceiling. */
--- a/src/main/java/dunlinladder/routing/RetryPolicy.java
+++ b/src/main/java/dunlinladder/routing/RetryPolicy.java
@@ -9,12 +9,9 @@
 /** Retries and time-outs: whether and where a request may go once more, and how long a try may take. */
 final class RetryPolicy {
     static final double SWEEP_SECONDS = 0.02; // between looks at requests that wait; well under every objective
-    private static final double END_MARGIN_SECONDS =
-            0.05; // before the deadline an unsent one is answered; over two sweeps
-    private static final double MAX_HELD_FRACTION =
-            0.5; // of releaseWithin for which KV cache may wait; the rest is for delays
-    private static final double MAX_UNREACHED_FRACTION =
-            0.8; // of releaseWithin for which decode engines may not be reached
+    private static final double END_MARGIN_SECONDS = 0.05; // before the deadline; over two sweeps
+    private static final double MAX_CACHE_WAIT_FRACTION = 0.5; // of releaseWithin; the rest is for delays
+    private static final double MAX_UNREACHED_FRACTION = 0.8; // of releaseWithin, without reaching a decode engine
     private static final double TIMEOUT_MULTIPLE = 6; // of the usual delay
     private static final double MIN_TIMEOUT_FRACTION = 0.4; // of the latency objective
     private static final double RETRIES_EARNED = 0.2; // by each arrival, so that retries cannot amplify an overload
@@ -92,21 +89,21 @@
 
     /** Whether KV cache has waited too long for a decode engine. */
     boolean waitedTooLong(RequestState request) {
-        return heldSeconds(request) > context.settings.rules().releaseWithin() * MAX_HELD_FRACTION;
+        return cacheWaitSeconds(request) > context.settings.rules().releaseWithin() * MAX_CACHE_WAIT_FRACTION;
     }
 
     /**
      * An attempt has ended: whether the KV cache has to be released instead of used once more. Its time begins anew,
      * but not with a decode engine that could not be reached: on sockets it runs on while connections fail to come up.
      */
-    boolean heldTooLong(AttemptState attempt, Status status) {
+    boolean cacheWaitExceeded(AttemptState attempt, Status status) {
         RequestState request = attempt.request;
         boolean unreached = attempt.stage == Stage.DECODE && status == Status.CONNECT_FAILED;
-        request.cacheHeldSince = unreached ? request.cacheHeldSince : context.now;
-        return heldSeconds(request) > context.settings.rules().releaseWithin() * MAX_UNREACHED_FRACTION;
+        request.cacheWaitsSince = unreached ? request.cacheWaitsSince : context.now;
+        return cacheWaitSeconds(request) > context.settings.rules().releaseWithin() * MAX_UNREACHED_FRACTION;
     }
 
-    private double heldSeconds(RequestState request) {
-        return context.now - request.cacheHeldSince;
+    private double cacheWaitSeconds(RequestState request) {
+        return context.now - request.cacheWaitsSince;
     }
 }
--- a/src/main/java/dunlinladder/routing/RoutingEvent.java
+++ b/src/main/java/dunlinladder/routing/RoutingEvent.java
@@ -79,35 +79,8 @@
             boolean returned,
             Predicate<String> eligible) {
 
-        /** A request that any engine may have. */
-        public Request(
-                String id,
-                int serviceClass,
-                int tenant,
-                long session,
-                double expires,
-                double hint,
-                long prefix,
-                double promptTokens,
-                double prefixTokens,
-                double maxOut,
-                boolean retry,
-                boolean returned) {
-            this(
-                    id,
-                    serviceClass,
-                    tenant,
-                    session,
-                    expires,
-                    hint,
-                    prefix,
-                    promptTokens,
-                    prefixTokens,
-                    maxOut,
-                    retry,
-                    returned,
-                    engine -> true);
-        }
+        /** Every engine may have the request. */
+        public static final Predicate<String> ANY_ENGINE = engine -> true;
     }
 
     /** The endpoints have changed, or discovery could not be asked. */
--- a/src/main/java/dunlinladder/routing/RoutingPolicy.java
+++ b/src/main/java/dunlinladder/routing/RoutingPolicy.java
@@ -135,7 +135,7 @@
             return;
         }
         context.fleet.refresh(cost::decodeLoad);
-        boolean prefilled = request.cacheHolder != null;
+        boolean prefilled = request.cacheEngine != null;
         Optional<EngineState> engine = prefilled ? decodeEngines.select(request) : startEngines.select(request);
         if (engine.isEmpty()) {
             waiting.add(request);
@@ -151,7 +151,7 @@
         waiting.remove(request);
         AttemptState attempt = new AttemptState(request, request.attemptCount++, engine, stage, context.now);
         context.load.attemptStarted(attempt);
-        request.cacheMayBeHeld |= stage.prefills();
+        request.cacheMayRemain |= stage.prefills();
         double timeout = retries.timeout(attempt, outliers.isOutlier(engine));
         outliers.postponeProbe(engine);
         request.inFlight.put(attempt.number, attempt);
@@ -163,8 +163,8 @@
 
     private void firstTokenReceived(AttemptState attempt, RoutingEvent.FirstTokenReceived event) {
         attempt.firstTokenAt = context.now;
-        attempt.request.cacheHolder = null;
-        attempt.request.cacheMayBeHeld = false;
+        attempt.request.cacheEngine = null;
+        attempt.request.cacheMayRemain = false;
         attempt.engine.unanswered.remove(attempt);
         attempt.endPrefill();
         outliers.succeeded(attempt, event.elapsed());
@@ -184,7 +184,7 @@
             request.possibleRun = Optional.of(new PossibleRun(engine, attempt.sentAt));
         }
         if (event.closed() || request.ended) {
-            request.cacheMayBeHeld = event.status() != RoutingEvent.Status.OK;
+            request.cacheMayRemain = event.status() != RoutingEvent.Status.OK;
             end(request);
         } else {
             goOn(attempt, event);
@@ -194,18 +194,19 @@
     /** The next step of a request that is still owed its answer. */
     private void goOn(AttemptState attempt, RoutingEvent.AttemptEnded event) {
         RequestState request = attempt.request;
-        boolean late = retries.heldTooLong(attempt, event.status());
-        boolean cacheIsGone = event.status() == RoutingEvent.Status.FULL && event.note() == 1;
+        boolean late = retries.cacheWaitExceeded(attempt, event.status());
+        boolean cacheIsLost = event.status() == RoutingEvent.Status.FULL && event.note() == 1;
         if (event.status() == RoutingEvent.Status.PREFILLED) {
-            request.cacheHolder = attempt.engine;
-            request.triedEngines.clear();
-        } else if (attempt.stage == Stage.DECODE && (cacheIsGone || late)) {
-            release(request); // rule 5: out of the decode engine's reach is not gone, a cut-off engine still holds it
+            request.cacheEngine = attempt.engine;
+            request.attemptedEngines.clear();
+        } else if (attempt.stage == Stage.DECODE && (cacheIsLost || late)) {
+            // Rule 5: a cut-off prefill engine still holds what the decode engine cannot reach.
+            release(request);
         } else if (event.status() == RoutingEvent.Status.NOT_SENT) {
             finish(request);
             return;
         } else {
-            request.triedEngines.add(attempt.engine);
+            request.attemptedEngines.add(attempt.engine);
             if (event.status() == RoutingEvent.Status.TIMEOUT) {
                 retries.spend();
             }
@@ -224,9 +225,9 @@
 
     /** A prefill engine whose answer was lost (a link cut, a reset) may hold KV cache all the same. */
     private void release(RequestState request) {
-        if (request.cacheMayBeHeld) {
-            request.cacheMayBeHeld = false;
-            request.cacheHolder = null;
+        if (request.cacheMayRemain) {
+            request.cacheMayRemain = false;
+            request.cacheEngine = null;
             actions.add(new RoutingAction.ReleaseCache(request.id()));
         }
     }
--- a/src/main/java/dunlinladder/routing/StartSelector.java
+++ b/src/main/java/dunlinladder/routing/StartSelector.java
@@ -16,15 +16,16 @@
         Optional<EngineState> mixed = mixedEngines.select(request);
         boolean canSplit = retries.attemptsLeft(request) >= 2;
         Optional<EngineState> prefill = canSplit ? prefillEngines.select(request) : Optional.empty();
-        boolean whole = mixed.isPresent() && (prefill.isEmpty() || takesWhole(request, mixed.get(), prefill.get()));
-        Optional<EngineState> chosen = whole ? mixed : prefill;
+        boolean unsplit = mixed.isPresent() && (prefill.isEmpty() || takesUnsplit(request, mixed.get(), prefill.get()));
+        Optional<EngineState> chosen = unsplit ? mixed : prefill;
         Optional<EngineState> sticky = canSplit ? engineOfSession(request) : Optional.empty();
         return sticky.filter(engine -> chosen.isEmpty() || isSoonEnough(request, engine, chosen.get(), MAX_STICKY_WAIT))
                 .or(() -> chosen);
     }
 
-    private boolean takesWhole(RequestState request, EngineState mixed, EngineState prefill) {
-        return mixedEngines.isDue(request, mixed) && isSoonEnough(request, mixed, prefill, PrefillSelector.MAX_BEHIND)
+    private boolean takesUnsplit(RequestState request, EngineState mixed, EngineState prefill) {
+        return mixedEngines.isDue(request, mixed)
+                        && isSoonEnough(request, mixed, prefill, PrefillSelector.MAX_LATE_FRACTION)
                 || mixedEngines.relieves(request, prefill, mixed);
     }
 
--- a/src/main/java/dunlinladder/routing/StreamDurationStats.java
+++ b/src/main/java/dunlinladder/routing/StreamDurationStats.java
@@ -12,10 +12,10 @@
 final class StreamDurationStats {
     /** Weight of the latest stream in the decode engines' mean of its class: some fifty streams. */
     private static final double CLASS_WEIGHT = 0.02;
-    /** Weight of the latest stream in an engine's pace: about the last ten, as answers differ in length. */
-    private static final double PACE_WEIGHT = 0.1;
-    /** Seconds in which a pace not seen again fades to a third of its distance from 1. */
-    private static final double PACE_FADE_SECONDS = 5;
+    /** Weight of the latest stream in an engine's ratio: about the last ten, as answers differ in length. */
+    private static final double RATIO_WEIGHT = 0.1;
+    /** Seconds in which a ratio not seen again fades to a third of its distance from 1. */
+    private static final double RATIO_FADE_SECONDS = 5;
 
     private final PolicyContext context;
     /** By service class, in seconds. */
@@ -26,8 +26,10 @@
     }
 
     /** Times the usual that streams last at an engine, as far as still known; 1 before any. */
-    double pace(EngineState engine) {
-        return 1 + (engine.streamPace - 1) * Math.exp((engine.streamPaceAt - context.now) / PACE_FADE_SECONDS);
+    double ratio(EngineState engine) {
+        return 1
+                + (engine.streamDurationRatio - 1)
+                        * Math.exp((engine.streamDurationRatioAt - context.now) / RATIO_FADE_SECONDS);
     }
 
     /** Takes in an attempt that has ended; only a stream that ended well counts, and only where enough are seen. */
@@ -48,8 +50,8 @@
             }
         }
         if (usual != null && usual.mean() > 0) {
-            engine.streamPace = Ewma.next(pace(engine), seconds / usual.mean(), PACE_WEIGHT);
-            engine.streamPaceAt = context.now;
+            engine.streamDurationRatio = Ewma.next(ratio(engine), seconds / usual.mean(), RATIO_WEIGHT);
+            engine.streamDurationRatioAt = context.now;
         }
     }
 }
--- a/src/main/java/dunlinladder/transport/simulator/SimulatorCodec.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorCodec.java
@@ -72,7 +72,8 @@
                 body.number("prefix-tokens", 0),
                 body.number("max-tokens", 0),
                 body.flag("retry"),
-                body.flag("returned"));
+                body.flag("returned"),
+                RoutingEvent.Request.ANY_ENGINE);
     }
 
     private static RoutingEvent.AttemptEnded outcome(JsonObject body) {
--- a/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
@@ -118,6 +118,7 @@
         try {
             actions = router.handle(now, event);
         } catch (RuntimeException e) {
+            // Whatever fault the policy has is told as BailOut; the other instances go on.
             StackTraceElement[] trace = e.getStackTrace();
             SimulatorCodec.bailOut(reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -82,14 +82,38 @@
 
     /** A request whose first 800 tokens are shared with others. */
     void shared(String id, long prefix) {
-        handle(new RoutingEvent.RequestArrived(
-                new RoutingEvent.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
+                id,
+                0,
+                0,
+                id.hashCode(),
+                now + 5,
+                0,
+                prefix,
+                1000,
+                800,
+                100,
+                false,
+                false,
+                RoutingEvent.Request.ANY_ENGINE)));
     }
 
     /** A request of 200 tokens behind a beginning of so many. */
     void opening(String id, long prefix, double tokens) {
         handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
-                id, 0, 0, id.hashCode(), now + 5, 0, prefix, tokens + 200, tokens, 100, false, false)));
+                id,
+                0,
+                0,
+                id.hashCode(),
+                now + 5,
+                0,
+                prefix,
+                tokens + 200,
+                tokens,
+                100,
+                false,
+                false,
+                RoutingEvent.Request.ANY_ENGINE)));
         sentAt.putIfAbsent(id, now);
     }
 
@@ -138,7 +162,7 @@
     String remembered() {
         PolicyContext context = router.context;
         PrefixCacheIndex cache = context.prefixCache;
-        return context.engines.size() + " " + cache.lastTurns.size() + " " + cache.prefixesSent.size();
+        return context.engines.size() + " " + cache.lastPrompts.size() + " " + cache.prefixesSent.size();
     }
 
     Fleet restart(String id) {
@@ -191,8 +215,8 @@
     }
 
     void request(String id, long session) {
-        handle(new RoutingEvent.RequestArrived(
-                new RoutingEvent.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
+                id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false, RoutingEvent.Request.ANY_ENGINE)));
         sentAt.putIfAbsent(id, now);
     }
 
--- a/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -192,7 +192,7 @@
         for (int i = 0; i < 100; i++) {
             writer.streamSent(new AttemptState(null, i, writer, AttemptState.Stage.DECODE, i));
         }
-        assertEquals(4, writer.recentStreams.size());
+        assertEquals(4, writer.streamsSinceReport.size());
     }
 
     /** What was kept of an engine goes with it: it would grow with every engine that is replaced. */
--- a/src/test/java/dunlinladder/routing/VirtualFleet.java
+++ b/src/test/java/dunlinladder/routing/VirtualFleet.java
@@ -223,7 +223,8 @@
                         100,
                         100,
                         false,
-                        false)));
+                        false,
+                        RoutingEvent.Request.ANY_ENGINE)));
         if (random.nextInt(100) == 0) {
             in(random.nextDouble() * 2, () -> leave(id, track));
         }
