--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -96,7 +96,7 @@
 
     private void checkSchedulingLag() {
         parts.lagMonitor().probe();
-        parts.router().pulse();
+        parts.router().admitQueued();
     }
 
     /**
@@ -137,7 +137,7 @@
     private void runRoutingTimers() {
         try {
             while (true) {
-                parts.router().tick();
+                parts.router().runTimers();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -5,7 +5,6 @@
 import dunlinladder.routing.RoutingSettings.Effect;
 import dunlinladder.routing.RoutingSettings.Group;
 import dunlinladder.routing.RoutingSettings.Role;
-import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -24,7 +23,7 @@
     private final Map<String, Double> sentAt = new HashMap<>();
     private final Map<String, Double> finalAt = new HashMap<>();
     private final List<double[]> timers = new ArrayList<>();
-    private Router router = new RoutingPolicy(settings, 1);
+    private RoutingPolicy router = new RoutingPolicy(settings, 1);
     private double now = 100;
 
     static RoutingSettings settings(Effect effect, Group group) {
@@ -83,14 +82,38 @@
 
     /** A request whose first 800 tokens are shared with others. */
     void shared(String id, long prefix) {
-        handle(new RoutingEvent.RequestArrived(
-                new RoutingEvent.Request(id, 0, 0, id.hashCode(), now + 5, 0, prefix, 1000, 800, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
+                id,
+                0,
+                0,
+                id.hashCode(),
+                now + 5,
+                0,
+                prefix,
+                1000,
+                800,
+                100,
+                false,
+                false,
+                RoutingEvent.Request.ANY_ENGINE)));
     }
 
     /** A request of 200 tokens behind a beginning of so many. */
     void opening(String id, long prefix, double tokens) {
         handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
-                id, 0, 0, id.hashCode(), now + 5, 0, prefix, tokens + 200, tokens, 100, false, false)));
+                id,
+                0,
+                0,
+                id.hashCode(),
+                now + 5,
+                0,
+                prefix,
+                tokens + 200,
+                tokens,
+                100,
+                false,
+                false,
+                RoutingEvent.Request.ANY_ENGINE)));
         sentAt.putIfAbsent(id, now);
     }
 
@@ -136,19 +159,10 @@
     }
 
     /** How many servers, sessions and shared beginnings the module holds. */
-    String remembered() throws ReflectiveOperationException {
-        StringBuilder sizes = new StringBuilder();
-        Object keeps = field(router, "keeps");
-        for (Object map : List.of(field(router, "workers"), field(keeps, "sessions"), field(keeps, "prefixes"))) {
-            sizes.append(' ').append(((Map<?, ?>) map).size());
-        }
-        return sizes.substring(1);
-    }
-
-    private static Object field(Object owner, String name) throws ReflectiveOperationException {
-        Field field = owner.getClass().getDeclaredField(name);
-        field.setAccessible(true);
-        return field.get(owner);
+    String remembered() {
+        PolicyContext context = router.context;
+        PrefixCacheIndex cache = context.prefixCache;
+        return context.engines.size() + " " + cache.lastPrompts.size() + " " + cache.prefixesSent.size();
     }
 
     Fleet restart(String id) {
@@ -201,8 +215,8 @@
     }
 
     void request(String id, long session) {
-        handle(new RoutingEvent.RequestArrived(
-                new RoutingEvent.Request(id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false)));
+        handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
+                id, 0, 0, session, now + 5, 0, 0, 1000, 0, 100, false, false, RoutingEvent.Request.ANY_ENGINE)));
         sentAt.putIfAbsent(id, now);
     }
 
