--- a/src/test/java/dunlinladder/ArchitectureTest.java
+++ b/src/test/java/dunlinladder/ArchitectureTest.java
@@ -1,14 +1,19 @@
 package dunlinladder;
 
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
+import com.tngtech.archunit.base.DescribedPredicate;
 import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.properties.HasName;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Packages point one way, and what decides does no I/O. */
 class ArchitectureTest {
@@ -88,4 +93,27 @@
                 .resideInAnyPackage("com.fasterxml.jackson..")
                 .check(classes);
     }
+
+    /** What the gateway and the simulator's adapter see of the policy: its interface, its facade and its creation. */
+    private static final String[] VISIBLE_POLICY_TYPES = {
+        "BlockingRequestRouter", "Router", "RoutingAction", "RoutingEvent", "RoutingPolicy", "RoutingSettings"
+    };
+
+    @Test
+    void nothingOutsideTheRoutingPackageSeesInsideThePolicy() {
+        String visible = "dunlinladder\\.routing\\.(" + String.join("|", VISIBLE_POLICY_TYPES) + ")(\\$.*)?";
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("dunlinladder.routing..")
+                .should()
+                .dependOnClassesThat(resideInAPackage("dunlinladder.routing..")
+                        .and(DescribedPredicate.not(HasName.Predicates.nameMatching(visible))))
+                .check(classes);
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"dunlinladder.(*)..", "dunlinladder.transport.(*).."})
+    void noPackagesDependOnEachOtherInACycle(String slices) {
+        slices().matching(slices).should().beFreeOfCycles().check(classes);
+    }
 }
