--- a/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayConfig.java
@@ -67,9 +67,9 @@
         JsonObject settings = file.child("settings");
         JsonObject caps = settings.childOrEmpty("caps");
         JsonObject given = file.childOrEmpty("limits");
-        int sockets = given.whole("sockets", 1024, 4 * OWN_SOCKETS, Integer.MAX_VALUE);
+        int sockets = given.intInRange("sockets", 1024, 4 * OWN_SOCKETS, Integer.MAX_VALUE);
         // A request takes a thread, with its stack and its share of the heap: some 100 KB in all.
-        int memory = given.whole("memory_mb", 160, 32, Integer.MAX_VALUE / 2);
+        int memory = given.intInRange("memory_mb", 160, 32, Integer.MAX_VALUE / 2);
         int each = Math.min(1024, sockets - OWN_SOCKETS) / 2;
         double keepalive = positive(caps, "keepalive", 30);
         long bodies = Runtime.getRuntime().maxMemory() / 5;
@@ -86,7 +86,7 @@
                 64 * 1024,
                 16,
                 4096,
-                Math.min(Math.min(each, 2 * memory), caps.whole("most-held", each, 1, Integer.MAX_VALUE)),
+                Math.min(Math.min(each, 2 * memory), caps.intInRange("most-held", each, 1, Integer.MAX_VALUE)),
                 each,
                 each,
                 positive(caps, "connect-timeout", 0.25),
--- a/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
+++ b/src/main/java/dunlinladder/transport/discovery/EndpointWatcher.java
@@ -8,6 +8,7 @@
 import dunlinladder.membership.WatchTimeouts;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.json.JsonObjectStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -211,7 +212,7 @@
                 }
                 on(new Event.Answered(wanted.link()));
                 connection.receiveResponseEntity(response);
-                JsonObject.Values lists = new JsonObject.Values(
+                JsonObjectStream lists = new JsonObjectStream(
                         response.getEntity().getContent(), () -> on(new Event.Beat(wanted.link())));
                 for (JsonObject list = lists.next(); list != null; list = lists.next()) {
                     on(new Event.Told(wanted.link(), reader.read(list, false)));
--- a/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
@@ -100,16 +100,16 @@
                     + info.names("kinds").size() + " kinds");
         }
         int zones = info.has("zones") ? Math.max(1, zones(info).size()) : MANY;
-        int balancers = info.whole("balancers", 1, 1, MANY);
-        info.whole("me", 0, 0, balancers - 1);
+        int balancers = info.intInRange("balancers", 1, 1, MANY);
+        info.intInRange("me", 0, 0, balancers - 1);
         return new Router.Settings(
                 balancers,
-                info.whole("zone", 0, 0, zones - 1),
+                info.intInRange("zone", 0, 0, zones - 1),
                 classes(info, family),
                 quotas(info),
                 roles,
                 figures(family, "kv-tokens", roles.size()),
-                caps.whole("max-attempts", 1, 1, MANY),
+                caps.intInRange("max-attempts", 1, 1, MANY),
                 family.flag("read-in-place"),
                 caps.flag("retry-after"),
                 caps.number("max-retry-after", 0, 0, MOST),
--- a/src/test/java/dunlinladder/transport/http/ReadersTest.java
+++ b/src/test/java/dunlinladder/transport/http/ReadersTest.java
@@ -11,6 +11,7 @@
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.json.JsonObjectStream;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -83,8 +84,8 @@
                 .map(piece -> (InputStream) new ByteArrayInputStream(piece.getBytes()))
                 .toList();
         AtomicInteger blanks = new AtomicInteger();
-        JsonObject.Values values = new JsonObject.Values(
-                new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
+        JsonObjectStream values =
+                new JsonObjectStream(new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
         for (int i = 0; i < objects; i++) {
             assertEquals(4 + i, values.next().integer("seq"));
         }
@@ -95,7 +96,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"[1]", "x", "{\"seq\":", "7"})
     void whatIsNotAnObjectIsRefused(String text) throws IOException {
-        JsonObject.Values values = new JsonObject.Values(new ByteArrayInputStream(text.getBytes()), () -> {});
+        JsonObjectStream values = new JsonObjectStream(new ByteArrayInputStream(text.getBytes()), () -> {});
         assertThrows(InvalidInputException.class, values::next);
     }
 }
