--- a/src/main/java/dunlinladder/transport/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -144,7 +144,7 @@
     }
 
     @Override
-    protected void received(HttpRequest head, byte[] content) {
+    protected void requestReceived(HttpRequest head, byte[] content) {
         double now = shared.clock.now();
         try {
             String path = path(head);
@@ -184,7 +184,7 @@
             if (!plain) {
                 fit(formats, now);
             }
-            take(
+            submit(
                     request.toCore(
                             id,
                             tenant,
@@ -360,7 +360,7 @@
     }
 
     @Override
-    protected void tooLong() {
+    protected void bodyTooLong() {
         ChatError error = new ChatError(
                 413, "the body is over " + shared.limits.bodyBytes() + " bytes", null, "request_too_large");
         answer(413, JSON, error.json(format), Map.of());
@@ -459,7 +459,7 @@
     private void opened() {
         if (!open) {
             open = true;
-            open("text/event-stream", headers(Map.of("Cache-Control", "no-cache")));
+            openStream("text/event-stream", headers(Map.of("Cache-Control", "no-cache")));
         }
     }
 
--- a/src/main/java/dunlinladder/transport/http/ChunkedBodyDecoder.java
+++ b/src/main/java/dunlinladder/transport/http/ChunkedBodyDecoder.java
@@ -13,99 +13,127 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Decodes a chunked body. It stands in for HttpCore's decoder, which takes a chunk of any size and negative ones too,
- * and throws away what it has decoded when a fault or the end follows in the same read. Here a call that brings data
- * never looks at what stands behind it; the fault is the next call's.
+ * Decodes a chunked body (RFC 9112, section 7.1) on its connection's I/O thread. It stands in for HttpCore's decoder,
+ * which takes a chunk of any size, negative ones too, and throws away what it has decoded when a fault or the end
+ * follows in the same read. Here a call that brings data never looks at what stands behind it; the fault is reported by
+ * the next call.
  */
 public final class ChunkedBodyDecoder implements ContentDecoder {
 
-    private static final Pattern SIZE = Pattern.compile("[0-9A-Fa-f]{1,8}");
-    private static final int MOST_LINE = 256;
-    private static final int MOST_TRAILERS = 16;
+    private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9A-Fa-f]{1,8}");
+    private static final int HEXADECIMAL = 16;
+    /** Bytes of a line that holds a chunk's size with its extensions, or a trailer. */
+    private static final int MAX_LINE_BYTES = 256;
 
+    private static final int MAX_TRAILERS = 16;
+    /** Characters that the line buffer holds before it grows. */
+    private static final int LINE_CAPACITY = 32;
+
+    /** What comes next in the body. */
     private enum State {
-        SIZE,
-        DATA,
-        DATA_END,
+        CHUNK_SIZE,
+        CHUNK_DATA,
+        CHUNK_END,
         TRAILERS,
-        DONE
+        COMPLETE
     }
 
     private final ReadableByteChannel channel;
     private final SessionInputBuffer buffer;
-    private final int most;
-    private final CharArrayBuffer line = new CharArrayBuffer(32);
-    private State state = State.SIZE;
-    private int left;
+    private final int maxChunkBytes;
+    private final CharArrayBuffer line = new CharArrayBuffer(LINE_CAPACITY);
+    private State state = State.CHUNK_SIZE;
+    private int remainingBytes;
     private int trailers;
 
-    /** Creates a decoder for chunks of at most {@code most} bytes. */
-    public ChunkedBodyDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, int most) {
+    /** Creates a decoder for chunks of at most {@code maxChunkBytes} bytes. */
+    public ChunkedBodyDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, int maxChunkBytes) {
         this.channel = channel;
         this.buffer = buffer;
-        this.most = most;
+        this.maxChunkBytes = maxChunkBytes;
     }
 
+    /**
+     * Reads a part of the body.
+     *
+     * @return the number of bytes read, 0 where more has to come first, -1 behind the last chunk
+     * @throws MalformedChunkCodingException where the coding is at fault or over its bounds
+     * @throws ConnectionClosedException where the connection ended before the last chunk
+     */
     @Override
     public int read(ByteBuffer into) throws IOException {
-        while (state != State.DONE) {
-            if (state == State.DATA) {
-                if (!buffer.hasData() && !fill()) {
-                    return 0;
-                }
-                int read = buffer.read(into, left);
-                left -= read;
-                state = left == 0 ? State.DATA_END : state;
-                return read;
+        while (state != State.COMPLETE) {
+            if (state == State.CHUNK_DATA) {
+                return readData(into);
             }
-            if (!line()) {
+            if (!readLine()) {
                 return 0;
             }
-            next(line.toString());
+            acceptLine(line.toString());
         }
         return -1;
     }
 
-    private void next(String text) throws IOException {
+    private int readData(ByteBuffer into) throws IOException {
+        if (!buffer.hasData() && !fillBuffer()) {
+            return 0;
+        }
+        int read = buffer.read(into, remainingBytes);
+        remainingBytes -= read;
+        if (remainingBytes == 0) {
+            state = State.CHUNK_END;
+        }
+        return read;
+    }
+
+    private void acceptLine(String text) throws IOException {
         switch (state) {
-            case SIZE -> {
-                int end = text.indexOf(';');
-                String size = (end < 0 ? text : text.substring(0, end)).trim();
-                if (!SIZE.matcher(size).matches() || Long.parseLong(size, 16) > most) {
-                    throw new MalformedChunkCodingException("not the size of a chunk, or over " + most);
-                }
-                left = Integer.parseInt(size, 16);
-                state = left == 0 ? State.TRAILERS : State.DATA;
-            }
-            case DATA_END -> {
+            case CHUNK_SIZE -> beginChunk(text);
+            case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new MalformedChunkCodingException("a chunk is longer than its size");
                 }
-                state = State.SIZE;
-            }
-            default -> {
-                if (++trailers > MOST_TRAILERS) {
-                    throw new MalformedChunkCodingException("over " + MOST_TRAILERS + " trailers");
-                }
-                state = text.isEmpty() ? State.DONE : state;
+                state = State.CHUNK_SIZE;
             }
+            default -> acceptTrailer(text);
+        }
+    }
+
+    private void beginChunk(String text) throws IOException {
+        int extensions = text.indexOf(';');
+        String size = (extensions < 0 ? text : text.substring(0, extensions)).trim();
+        if (!CHUNK_SIZE.matcher(size).matches() || Long.parseLong(size, HEXADECIMAL) > maxChunkBytes) {
+            throw new MalformedChunkCodingException("not the size of a chunk, or over " + maxChunkBytes);
+        }
+        remainingBytes = Integer.parseInt(size, HEXADECIMAL);
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
+    }
+
+    private void acceptTrailer(String text) throws IOException {
+        trailers++;
+        if (trailers > MAX_TRAILERS) {
+            throw new MalformedChunkCodingException("over " + MAX_TRAILERS + " trailers");
+        }
+        if (text.isEmpty()) {
+            state = State.COMPLETE;
         }
     }
 
-    private boolean line() throws IOException {
+    /** Reads a line whole into {@link #line}; false where more has to come first. */
+    private boolean readLine() throws IOException {
         line.clear();
         while (!buffer.readLine(line, false)) {
-            if (buffer.length() > MOST_LINE) {
-                throw new MalformedChunkCodingException("a line between chunks is over " + MOST_LINE);
+            if (buffer.length() > MAX_LINE_BYTES) {
+                throw new MalformedChunkCodingException("a line between chunks is over " + MAX_LINE_BYTES);
             }
-            if (!fill()) {
+            if (!fillBuffer()) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean fill() throws IOException {
+    private boolean fillBuffer() throws IOException {
         int read = buffer.fill(channel);
         if (read < 0) {
             throw new ConnectionClosedException("the body ended before its last chunk");
@@ -113,11 +141,13 @@
         return read > 0;
     }
 
+    /** Whether the last chunk and the trailers behind it have been read. */
     @Override
     public boolean isCompleted() {
-        return state == State.DONE;
+        return state == State.COMPLETE;
     }
 
+    /** Null: trailers are read and dropped. */
     @Override
     public List<? extends Header> getTrailers() {
         return null;
--- a/src/main/java/dunlinladder/transport/http/ClientConnection.java
+++ b/src/main/java/dunlinladder/transport/http/ClientConnection.java
@@ -7,9 +7,14 @@
 import java.nio.channels.ReadableByteChannel;
 import org.apache.hc.core5.function.Supplier;
 import org.apache.hc.core5.http.ConnectionClosedException;
+import org.apache.hc.core5.http.ContentLengthStrategy;
+import org.apache.hc.core5.http.HeaderElements;
 import org.apache.hc.core5.http.HttpException;
+import org.apache.hc.core5.http.HttpHeaders;
 import org.apache.hc.core5.http.HttpRequest;
 import org.apache.hc.core5.http.HttpResponse;
+import org.apache.hc.core5.http.HttpStatus;
+import org.apache.hc.core5.http.URIScheme;
 import org.apache.hc.core5.http.config.CharCodingConfig;
 import org.apache.hc.core5.http.config.Http1Config;
 import org.apache.hc.core5.http.impl.BasicHttpTransportMetrics;
@@ -35,32 +40,52 @@
 /**
  * One client's connection: its requests one at a time, the time it may take over them, and its end. It sees each head
  * before HttpCore does, and with it the end of the client's input, which HttpCore takes for a graceful shutdown that
- * lets the answer run on, unheard: here a client that closes has gone away.
+ * lets the answer run on, unheard: here a client that closes has disconnected.
+ *
+ * <p>Threads: the I/O thread calls {@link #parse}, {@link #reset} and {@link #create}; the timer {@link #sweep}; the
+ * accepting thread {@link #close} and {@link #idleSeconds}; the shutdown {@link #end}. The object's monitor guards
+ * {@code closedAmidHead} and the step by which a head becomes complete, so that a connection is never closed over a
+ * request that is being taken at that moment. What else is shared is volatile.
  */
 final class ClientConnection implements NHttpMessageParser<HttpRequest>, HandlerFactory<AsyncServerExchangeHandler> {
 
-    private static final int DROPPED_BYTES = 1024;
+    /** Bytes that are read at once where they are only dropped. */
+    private static final int DROP_BUFFER_BYTES = 1024;
+
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Times the bound on a request: so long the rest of a body that was rejected may keep coming. */
+    private static final int DROPPED_BODY_FACTOR = 2;
+
+    /** How far the next request has come. */
+    private enum Phase {
+        /** Nothing of it is here. */
+        IDLE,
+        HEAD_PARTIAL,
+        /** Its head has been read, its exchange is not open yet. */
+        HEAD_COMPLETE,
+        EXCHANGE_OPEN
+    }
 
     private final ProtocolIOSession session;
     private final Limits limits;
     private final Supplier<? extends ServerExchange> exchanges;
     private final MessageHeadParser<HttpRequest> parser;
-    private volatile ServerExchange open;
-    /** When it connected, its last answer ended, or the first byte behind that came. */
-    private volatile long since = System.nanoTime();
-
-    private volatile boolean answered;
-    private volatile boolean begun;
-    /** Whether a head has been read whole whose exchange is not open yet. */
-    private volatile boolean whole;
-    /** Whether it was closed with a part of a head here: the rest no longer counts. */
-    private volatile boolean closed;
-    /** Whether it was told to end with the program, which one thread does. */
-    private boolean ended;
+    /** The request that is open, null while there is none. */
+    private volatile ServerExchange openExchange;
+
+    private volatile Phase phase = Phase.IDLE;
+    /** Nanoseconds: when it connected, its last answer ended, or the first byte behind that came. */
+    private volatile long waitingSince = System.nanoTime();
 
-    private boolean refusing;
+    private volatile boolean answeredBefore;
+    /** Whether it was closed with a part of a head here: the rest no longer counts. */
+    private volatile boolean closedAmidHead;
+    /** Whether it was told to end with the program; the shutdown's alone. */
+    private boolean endRequested;
+    /** Whether a second request was rejected, and all that follows is dropped; the I/O thread's alone. */
+    private boolean droppingInput;
     /** What is read to be dropped; allocated by the first who sends without waiting. */
-    private ByteBuffer dropped;
+    private ByteBuffer dropBuffer;
 
     ClientConnection(
             ProtocolIOSession session,
@@ -76,63 +101,89 @@
 
     /** The handler that HttpCore drives this connection with. */
     IOEventHandler handler(HttpProcessor processor, Http1Config config) {
-        return new ServerHttp1IOEventHandler(
-                new ServerHttp1StreamDuplexer(
-                        session,
-                        processor,
-                        this,
-                        "http",
-                        config,
-                        CharCodingConfig.DEFAULT,
-                        null,
-                        this,
-                        DefaultHttpResponseWriterFactory.INSTANCE.create(),
-                        null,
-                        null,
-                        null,
-                        null) {
-                    @Override
-                    protected ContentDecoder createContentDecoder(
-                            long length,
-                            ReadableByteChannel channel,
-                            SessionInputBuffer buffer,
-                            BasicHttpTransportMetrics metrics)
-                            throws HttpException {
-                        return length == -1
-                                ? new ChunkedBodyDecoder(channel, buffer, limits.chunkBytes())
-                                : super.createContentDecoder(length, channel, buffer, metrics);
-                    }
-                });
+        return new ServerHttp1IOEventHandler(new BoundedChunksDuplexer(processor, config));
     }
 
+    /** HttpCore's protocol on this connection, with this program's reading of heads and chunks. */
+    private final class BoundedChunksDuplexer extends ServerHttp1StreamDuplexer {
+
+        BoundedChunksDuplexer(HttpProcessor processor, Http1Config config) {
+            super(
+                    session,
+                    processor,
+                    ClientConnection.this,
+                    URIScheme.HTTP.id,
+                    config,
+                    CharCodingConfig.DEFAULT,
+                    null,
+                    ClientConnection.this,
+                    DefaultHttpResponseWriterFactory.INSTANCE.create(),
+                    null,
+                    null,
+                    null,
+                    null);
+        }
+
+        @Override
+        protected ContentDecoder createContentDecoder(
+                long length, ReadableByteChannel channel, SessionInputBuffer buffer, BasicHttpTransportMetrics metrics)
+                throws HttpException {
+            return length == ContentLengthStrategy.CHUNKED
+                    ? new ChunkedBodyDecoder(channel, buffer, limits.chunkBytes())
+                    : super.createContentDecoder(length, channel, buffer, metrics);
+        }
+    }
+
+    // ---- Reading ----
+
+    /**
+     * The next head, or null where more of it has to come first.
+     *
+     * @throws ConnectionClosedException where the client has closed, or this side has amid the head
+     */
     @Override
-    public HttpRequest parse(SessionInputBuffer buffer, boolean end) throws IOException, HttpException {
-        ServerExchange current = open;
-        if (end) {
-            if (current != null) {
-                current.close();
+    public HttpRequest parse(SessionInputBuffer buffer, boolean endOfStream) throws IOException, HttpException {
+        if (endOfStream) {
+            ServerExchange exchange = openExchange;
+            if (exchange != null) {
+                exchange.disconnect();
             }
             throw new ConnectionClosedException("closed by the client");
         }
-        if (refusing) {
-            // What was sent without waiting for answers is read and dropped. Were it left unread, the
-            // client's end would stand behind it, and the request that was taken would run on unheard.
-            while (buffer.hasData()) {
-                buffer.read(dropped.clear());
-            }
+        if (droppingInput) {
+            drop(buffer);
             return null;
         }
+        return parseHead(buffer);
+    }
+
+    /**
+     * What was sent without waiting for answers is read and dropped. Were it left unread, the client's end would stand
+     * behind it, and the request that was taken would run on unheard.
+     */
+    private void drop(SessionInputBuffer buffer) throws IOException {
+        while (buffer.hasData()) {
+            buffer.read(dropBuffer.clear());
+        }
+    }
+
+    private HttpRequest parseHead(SessionInputBuffer buffer) throws IOException, HttpException {
         HttpRequest head;
+        boolean firstBytes;
         synchronized (this) {
-            if (closed) {
+            if (closedAmidHead) {
                 throw new ConnectionClosedException("closed before the head was whole");
             }
             head = parser.parse(buffer, false);
-            whole = head != null;
+            firstBytes = phase == Phase.IDLE && (head != null || parser.hasPartialHead(buffer));
+            if (head != null && phase != Phase.EXCHANGE_OPEN) {
+                phase = Phase.HEAD_COMPLETE;
+            } else if (firstBytes) {
+                phase = Phase.HEAD_PARTIAL;
+            }
         }
-        if (!begun && (head != null || parser.begun(buffer))) {
-            begun = true;
-            since = answered ? System.nanoTime() : since;
+        if (firstBytes && answeredBefore) {
+            waitingSince = System.nanoTime();
         }
         return head;
     }
@@ -142,60 +193,75 @@
         parser.reset();
     }
 
-    /** A request that does not wait for the answer before it is refused; the connection ends with that. */
+    /**
+     * Opens the exchange of a request. One that does not wait for the answer before it is rejected, and the connection
+     * ends with that.
+     */
     @Override
     public AsyncServerExchangeHandler create(HttpRequest request, HttpContext context) {
-        if (open != null) {
-            refusing = true;
-            dropped = ByteBuffer.allocate(DROPPED_BYTES);
-            HttpResponse refusal = new BasicHttpResponse(503);
-            refusal.setHeader("Connection", "close");
-            refusal.setHeader("Retry-After", Seconds.text(limits.retryAfterSeconds()));
-            return new ImmediateResponseExchangeHandler(refusal, "one request at a time\n");
+        if (openExchange != null) {
+            droppingInput = true;
+            dropBuffer = ByteBuffer.allocate(DROP_BUFFER_BYTES);
+            return rejection();
         }
         ServerExchange exchange = exchanges.get();
-        open = exchange;
-        whole = false;
-        exchange.onOver(this::over);
+        openExchange = exchange;
+        phase = Phase.EXCHANGE_OPEN;
+        exchange.onOver(this::exchangeOver);
         return exchange;
     }
 
-    /** Runs with the exchange's lock held, so it takes none. */
-    private void over() {
-        since = System.nanoTime();
-        answered = true;
-        begun = false;
-        open = null;
+    private ImmediateResponseExchangeHandler rejection() {
+        HttpResponse rejection = new BasicHttpResponse(HttpStatus.SC_SERVICE_UNAVAILABLE);
+        rejection.setHeader(HttpHeaders.CONNECTION, HeaderElements.CLOSE);
+        rejection.setHeader(HttpHeaders.RETRY_AFTER, Seconds.text(limits.retryAfterSeconds()));
+        return new ImmediateResponseExchangeHandler(rejection, "one request at a time\n");
+    }
+
+    /** Runs with the lock of the exchange's writer held, so it takes none. */
+    private void exchangeOver() {
+        waitingSince = System.nanoTime();
+        answeredBefore = true;
+        phase = Phase.IDLE;
+        openExchange = null;
     }
 
+    // ---- Time and end ----
+
     /** Seconds for which no request has been open; negative while one is. */
-    double idle() {
-        return open != null ? -1 : (System.nanoTime() - since) / 1e9;
+    double idleSeconds() {
+        return openExchange != null ? -1 : secondsWaited();
+    }
+
+    private double secondsWaited() {
+        return (System.nanoTime() - waitingSince) / NANOS_PER_SECOND;
     }
 
     /** Closes it when the client takes too long: to send a request, or to take its answer. */
     void sweep() {
-        ServerExchange current = open;
-        double waited = (System.nanoTime() - since) / 1e9;
+        ServerExchange exchange = openExchange;
+        double waited = secondsWaited();
         boolean late = waited > limits.requestSeconds();
-        if (current == null && late && waited < 2 * limits.requestSeconds()) {
+        if (exchange != null) {
+            if (late && exchange.expire() || exchange.isStalled(limits.stallSeconds())) {
+                session.close(CloseMode.GRACEFUL);
+            }
+        } else if (late && waited < DROPPED_BODY_FACTOR * limits.requestSeconds()) {
             close();
-        } else if (current == null && late) {
-            // Still here: the rest of a body that was refused keeps coming.
-            session.close(CloseMode.GRACEFUL);
-        } else if (current != null && (late && current.expire() || current.stalled(limits.stallSeconds()))) {
+        } else if (late) {
+            // Still here: the rest of a body that was rejected keeps coming.
             session.close(CloseMode.GRACEFUL);
         }
     }
 
     /**
-     * Ends it at the program's end: at once where it rests, with its answer where a request is open, as the head of
-     * that answer may have gone out before and told the client nothing. A head of which a part has come is waited for;
-     * to be called until the connection has gone.
+     * Ends it at the program's end: at once where it is idle, with its answer where a request is open, as the head of
+     * that answer may have gone out before without telling the client. A head of which a part has come is waited for;
+     * to be called until the connection has closed.
      */
     void end() {
-        if (!ended && (open != null || !begun)) {
-            ended = true;
+        if (!endRequested && (openExchange != null || phase == Phase.IDLE)) {
+            endRequested = true;
             session.enqueue(ShutdownCommand.GRACEFUL, Command.Priority.NORMAL);
         }
     }
@@ -206,11 +272,12 @@
      */
     void close() {
         synchronized (this) {
-            closed = begun && !whole && open == null;
+            closedAmidHead = phase == Phase.HEAD_PARTIAL && openExchange == null;
         }
-        if (closed) {
+        if (closedAmidHead) {
             session.close(CloseMode.GRACEFUL);
         } else {
+            // A command of the I/O thread: it is obeyed behind the request that is being read.
             session.enqueue(ShutdownCommand.GRACEFUL, Command.Priority.NORMAL);
         }
     }
--- a/src/main/java/dunlinladder/transport/http/HttpListener.java
+++ b/src/main/java/dunlinladder/transport/http/HttpListener.java
@@ -30,11 +30,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One listening address and the client connections that came in by it. */
+/**
+ * One listening address and the client connections that came in by it.
+ *
+ * <p>Threads: HttpCore's accepting thread runs {@link #admit}, its I/O thread makes the connections' handlers and hears
+ * of their end. {@link #sweep} is the gateway's timer's, {@link #closeIdle} its shutdown's. The connections are in a
+ * concurrent map, so nothing here takes a lock.
+ */
 public final class HttpListener implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
 
+    /** One thread reads and writes all connections: it has a fraction of a core to run on. */
+    private static final int IO_THREADS = 1;
+    /** Connections that the system may hold before they are accepted. */
+    private static final int LISTEN_QUEUE = 1024;
+
+    private static final int SELECT_MILLIS = 50;
+    /** Between two looks whether a connection has made room for the next one. */
+    private static final int ADMISSION_POLL_MILLIS = 1;
+    /** Index of the one I/O thread. */
+    private static final int IO_THREAD = 0;
+
     // ResponseConnControl is left out: it closes the connection after every 503.
     private final HttpProcessor processor = HttpProcessorBuilder.create()
             .add(new RequestValidateHost())
@@ -42,69 +59,89 @@
             .build();
     private final Http1Config config;
     private final HttpAsyncServer server;
+    /** By the id of their session. */
     private final Map<String, ClientConnection> connections = new ConcurrentHashMap<>();
-    /** Accepted connections that their reactor has not yet taken up. */
+    /** Accepted connections that their I/O thread has not yet taken up. */
     private final AtomicInteger handedOver = new AtomicInteger();
 
     private final Limits limits;
-    private final int most;
+    private final int maxConnections;
     private final Supplier<? extends ServerExchange> exchanges;
+    /** Null until {@link #listen}. */
     private ListenerEndpoint endpoint;
 
-    /** Creates a server for so many connections; each request gets an exchange of its own. */
-    public HttpListener(int mostConnections, Limits limits, Supplier<? extends ServerExchange> exchanges) {
-        this.most = mostConnections;
+    /**
+     * Creates a listener and starts its threads; it accepts nothing before {@link #listen}.
+     *
+     * @param maxConnections client connections held at once
+     * @param exchanges makes the exchange of each request
+     */
+    public HttpListener(int maxConnections, Limits limits, Supplier<? extends ServerExchange> exchanges) {
+        this.maxConnections = maxConnections;
         this.limits = limits;
         this.exchanges = exchanges;
         config = MessageHeadParser.config(limits);
         server = new HttpAsyncServer(
-                this::connection,
-                IOReactorConfig.custom()
-                        .setIoThreadCount(1)
-                        .setTcpNoDelay(true)
-                        .setSoReuseAddress(true)
-                        .setBacklogSize(1024)
-                        .setSoTimeout(Timeout.DISABLED)
-                        .setSelectInterval(TimeValue.ofMilliseconds(50))
-                        .build(),
+                this::createHandler,
+                reactorConfig(),
                 null,
-                e -> LOG.warn("server: {}", e.toString()),
-                new Ends(),
+                e -> LOG.warn("event=listener_error reason={}", e.toString()),
+                new SessionEndListener(),
                 null,
                 this::admit,
                 "localhost");
         server.start();
     }
 
+    private static IOReactorConfig reactorConfig() {
+        return IOReactorConfig.custom()
+                .setIoThreadCount(IO_THREADS)
+                .setTcpNoDelay(true)
+                .setSoReuseAddress(true)
+                .setBacklogSize(LISTEN_QUEUE)
+                .setSoTimeout(Timeout.DISABLED)
+                .setSelectInterval(TimeValue.ofMilliseconds(SELECT_MILLIS))
+                .build();
+    }
+
     /**
-     * Runs on the accepting thread before a connection is handed to its reactor. While there are too many, the one that
-     * has been without a request longest is closed, and the next ones wait in the listen queue: HttpCore's listener
-     * would accept them all, and ends for good when the descriptors run out.
+     * Runs on the accepting thread before a connection is handed to its I/O thread. While there are too many, the one
+     * that has been without a request longest is closed, and the next ones wait in the listen queue: HttpCore's
+     * listener would accept them all, and ends for good when the descriptors run out.
      */
     private int admit(IOWorkerStats[] workers) {
         handedOver.incrementAndGet();
         try {
-            while (connections.size() + handedOver.get() > most) {
-                connections.values().stream()
-                        .filter(each -> each.idle() > limits.evictSeconds())
-                        .max(Comparator.comparingDouble(ClientConnection::idle))
-                        .ifPresent(ClientConnection::close);
-                Thread.sleep(1);
+            while (connections.size() + handedOver.get() > maxConnections) {
+                closeLongestIdle();
+                Thread.sleep(ADMISSION_POLL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return 0;
+        return IO_THREAD;
+    }
+
+    private void closeLongestIdle() {
+        connections.values().stream()
+                .filter(connection -> connection.idleSeconds() > limits.evictSeconds())
+                .max(Comparator.comparingDouble(ClientConnection::idleSeconds))
+                .ifPresent(ClientConnection::close);
     }
 
-    private IOEventHandler connection(ProtocolIOSession session, Object attachment) {
+    private IOEventHandler createHandler(ProtocolIOSession session, Object attachment) {
         ClientConnection connection = new ClientConnection(session, limits, config, exchanges);
         connections.put(session.getId(), connection);
         handedOver.decrementAndGet();
         return connection.handler(processor, config);
     }
 
-    /** Listens; returns the port, which the system chooses where 0 was asked for. */
+    /**
+     * Listens.
+     *
+     * @return the port, which the system chooses where 0 was asked for
+     * @throws IOException where the address cannot be listened on
+     */
     public int listen(InetSocketAddress address) throws IOException, InterruptedException {
         try {
             endpoint = server.listen(address, URIScheme.HTTP).get();
@@ -134,13 +171,14 @@
         return handedOver.get() == 0 && connections.isEmpty();
     }
 
+    /** Closes all connections at once. */
     @Override
     public void close() {
         server.close(CloseMode.IMMEDIATE);
     }
 
-    /** Forgets connections that have ended. */
-    private final class Ends implements IOSessionListener {
+    /** Forgets connections that have ended; runs on the I/O thread. */
+    private final class SessionEndListener implements IOSessionListener {
 
         @Override
         public void connected(IOSession session) {
@@ -159,22 +197,22 @@
 
         @Override
         public void inputReady(IOSession session) {
-            // Ends only.
+            // Only ends matter here.
         }
 
         @Override
         public void outputReady(IOSession session) {
-            // Ends only.
+            // Only ends matter here.
         }
 
         @Override
         public void timeout(IOSession session) {
-            // Ends only.
+            // Only ends matter here.
         }
 
         @Override
         public void exception(IOSession session, Exception e) {
-            LOG.debug("client connection: {}", e.toString());
+            LOG.debug("event=client_connection_error reason={}", e.toString());
         }
     }
 }
--- a/src/main/java/dunlinladder/transport/platform/PlatformExchange.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformExchange.java
@@ -13,14 +13,30 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntConsumer;
+import org.apache.hc.core5.http.HttpHeaders;
 import org.apache.hc.core5.http.HttpRequest;
+import org.apache.hc.core5.http.HttpStatus;
 
-/** One request in the platform's protocol; its client as the core sees it. */
+/**
+ * One request in the platform's protocol; its client as the core sees it. Bad input is answered here and touches no
+ * engine. The engine's events go to the client byte for byte, each flushed by itself.
+ */
 public final class PlatformExchange extends ServerExchange implements ResponseSink {
 
+    private static final String HEALTH_PATH = "/up";
+    private static final String COMPLETIONS_PATH = "/v1/chat/completions";
+    private static final String GET = "GET";
+    private static final String POST = "POST";
     private static final String TEXT = "text/plain; charset=utf-8";
+    private static final String EVENT_STREAM = "text/event-stream";
 
-    /** What all exchanges of this front share. */
+    /**
+     * What all exchanges of this front share.
+     *
+     * @param draining whether no new client is to be sent here, as the health check tells
+     * @param closing whether connections are to close with their answer
+     * @param bodies counts the bytes of all request bodies that are held
+     */
     public record Shared(
             Dispatcher dispatcher,
             PlatformRequestReader reader,
@@ -31,7 +47,7 @@
             AtomicLong bodies) {}
 
     private final Shared shared;
-    private boolean open;
+    private boolean streaming;
 
     /** Creates the exchange for one request. */
     public PlatformExchange(Shared shared) {
@@ -39,50 +55,60 @@
         this.shared = shared;
     }
 
+    // ---- The request ----
+
     @Override
-    protected void received(HttpRequest head, byte[] content) {
+    protected void requestReceived(HttpRequest head, byte[] content) {
         double now = shared.clock.now();
         String path = path(head);
-        boolean up = path.equals("/up");
-        if (!up && !path.equals("/v1/chat/completions")) {
-            answer(404, TEXT, "no such path\n", Map.of());
-        } else if (!head.getMethod().equals(up ? "GET" : "POST")) {
-            answer(405, TEXT, "wrong method\n", Map.of("Allow", up ? "GET" : "POST"));
-        } else if (up) {
-            boolean ready = !shared.draining.getAsBoolean();
-            answer(ready ? 200 : 503, TEXT, ready ? "up\n" : "draining\n", Map.of());
+        boolean healthCheck = path.equals(HEALTH_PATH);
+        String allowed = healthCheck ? GET : POST;
+        if (!healthCheck && !path.equals(COMPLETIONS_PATH)) {
+            answer(HttpStatus.SC_NOT_FOUND, TEXT, "no such path\n", Map.of());
+        } else if (!head.getMethod().equals(allowed)) {
+            answer(HttpStatus.SC_METHOD_NOT_ALLOWED, TEXT, "wrong method\n", Map.of(HttpHeaders.ALLOW, allowed));
+        } else if (healthCheck) {
+            answerHealthCheck();
+        } else {
+            submit(head, content, now);
+        }
+    }
+
+    private void answerHealthCheck() {
+        if (shared.draining.getAsBoolean()) {
+            answer(HttpStatus.SC_SERVICE_UNAVAILABLE, TEXT, "draining\n", Map.of());
         } else {
-            take(
-                    head,
-                    new EngineRequest(head.getMethod(), head.getRequestUri(), header(head, "Content-Type"), content),
-                    now);
+            answer(HttpStatus.SC_OK, TEXT, "up\n", Map.of());
         }
     }
 
-    private void take(HttpRequest head, EngineRequest forward, double now) {
+    private void submit(HttpRequest head, byte[] content, double now) {
+        EngineRequest forward = new EngineRequest(
+                head.getMethod(), head.getRequestUri(), header(head, HttpHeaders.CONTENT_TYPE), content);
         try {
-            if (!take(shared.reader.read(name -> header(head, name), forward, now), this)) {
-                throw new InvalidInputException("X-Request-ID is in use");
+            if (!submit(shared.reader.read(name -> header(head, name), forward, now), this)) {
+                throw new InvalidInputException(PlatformRequestReader.REQUEST_ID + " is in use");
             }
         } catch (InvalidInputException e) {
-            answer(400, TEXT, e.getMessage() + "\n", Map.of());
+            answer(HttpStatus.SC_BAD_REQUEST, TEXT, e.getMessage() + "\n", Map.of());
         }
     }
 
     @Override
-    protected void tooLong() {
-        answer(413, TEXT, "the body is over " + shared.limits.bodyBytes() + " bytes\n", Map.of());
+    protected void bodyTooLong() {
+        String message = "the body is over " + shared.limits.bodyBytes() + " bytes\n";
+        answer(HttpStatus.SC_REQUEST_TOO_LONG, TEXT, message, Map.of());
     }
 
     // ---- The core's side ----
 
     @Override
-    public void writeEvents(ByteBuffer piece, IntConsumer taken) {
-        if (!open) {
-            open = true;
-            open("text/event-stream", Map.of("Cache-Control", "no-cache"));
+    public void writeEvents(ByteBuffer piece, IntConsumer onWritten) {
+        if (!streaming) {
+            streaming = true;
+            openStream(EVENT_STREAM, Map.of(HttpHeaders.CACHE_CONTROL, "no-cache"));
         }
-        write(piece, taken);
+        write(piece, onWritten);
     }
 
     @Override
@@ -98,11 +124,20 @@
     @Override
     public void reject(double retryAfter) {
         double advice = retryAfter > 0 ? retryAfter : shared.limits.retryAfterSeconds();
-        answer(503, TEXT, "refused: trying again is harmless\n", Map.of("Retry-After", Seconds.text(advice)));
+        answer(
+                HttpStatus.SC_SERVICE_UNAVAILABLE,
+                TEXT,
+                "refused: trying again is harmless\n",
+                Map.of(HttpHeaders.RETRY_AFTER, Seconds.text(advice)));
     }
 
     @Override
     public void fail(Failure why) {
-        answer(why == Failure.TIMEOUT ? 504 : why == Failure.ENGINE ? 502 : 500, TEXT, "failed\n", Map.of());
+        int status = switch (why) {
+            case TIMEOUT -> HttpStatus.SC_GATEWAY_TIMEOUT;
+            case ENGINE -> HttpStatus.SC_BAD_GATEWAY;
+            case INTERNAL, REQUEST -> HttpStatus.SC_INTERNAL_SERVER_ERROR;
+        };
+        answer(status, TEXT, "failed\n", Map.of());
     }
 }
--- a/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
@@ -10,12 +10,39 @@
 import java.util.function.UnaryOperator;
 import java.util.regex.Pattern;
 
-/** Reads the platform's request headers. */
+/** Reads the platform's request headers, whose names and meanings are the protocol page's. */
 public final class PlatformRequestReader {
 
-    private static final int MOST_ID = 128;
+    static final String REQUEST_ID = "X-Request-ID";
+    private static final String PRIORITY_CLASS = "X-Priority-Class";
+    private static final String TENANT = "X-Tenant-Id";
+    private static final String TIMEOUT = "X-Timeout";
+    private static final String ROUTE_KEY = "X-Route-Key";
+    private static final String RETRIED = "X-Retried";
+    private static final String ATTRIBUTES = "X-Attrs";
+    /** Value of {@code X-Retried} by which a client asks for the rest of a stream that broke off. */
+    private static final String RETRIED_AGAIN = "again";
+
+    private static final String PREFIX = "prefix";
+    private static final String PROMPT_TOKENS = "prompt_len";
+    private static final String PREFIX_TOKENS = "prefix_len";
+    private static final String MAX_OUTPUT_TOKENS = "max_out";
+
+    private static final int MAX_ID_CHARACTERS = 128;
+    private static final Pattern ID = Pattern.compile("[A-Za-z0-9._~:-]+");
     /** Java's own reading also takes hexadecimal, exponents and a trailing d. */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
+    /** By which the prompt's length is estimated where the client does not tell it. */
+    private static final double BODY_BYTES_PER_TOKEN = 4;
+    /** Offset basis and prime of the 64-bit FNV-1a hash. */
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final int BYTE_MASK = 0xff;
+    /** The only tenant where the settings name none. */
+    private static final int ONLY_TENANT = 0;
+    /** The key that stands for "no prefix". */
+    private static final long NO_KEY = 0;
 
     private final List<String> classes;
     private final List<Double> deadlines;
@@ -28,76 +55,110 @@
         this.tenants = tenants;
     }
 
-    /** Translates a request that came at {@code now}; a {@link InvalidInputException} names the faulty header. */
+    /**
+     * Translates a request.
+     *
+     * @param headers gives the value of a header, null where it is absent
+     * @param forward what goes to the engines
+     * @param now seconds on the gateway's clock at which it came
+     * @throws InvalidInputException which names the faulty header
+     */
     Request read(UnaryOperator<String> headers, EngineRequest forward, double now) {
-        String id = headers.apply("X-Request-ID");
-        if (id == null || id.isEmpty() || id.length() > MOST_ID || !id.matches("[A-Za-z0-9._~:-]+")) {
-            throw new InvalidInputException("X-Request-ID is missing or malformed");
-        }
-        int serviceClass = index(classes, headers.apply("X-Priority-Class"), "X-Priority-Class");
-        int tenant = tenants.isEmpty() ? 0 : index(tenants, headers.apply("X-Tenant-Id"), "X-Tenant-Id");
-        String timeout = headers.apply("X-Timeout");
-        double wait = timeout == null ? deadlines.get(serviceClass) : number(timeout, "X-Timeout");
-        Map<String, String> attrs = pairs(headers.apply("X-Attrs"));
-        String prefix = attrs.getOrDefault("prefix", "");
-        String session = headers.apply("X-Route-Key");
-        String retried = headers.apply("X-Retried");
+        String id = id(headers);
+        int serviceClass = index(classes, headers.apply(PRIORITY_CLASS), PRIORITY_CLASS);
+        int tenant = tenants.isEmpty() ? ONLY_TENANT : index(tenants, headers.apply(TENANT), TENANT);
+        String timeout = headers.apply(TIMEOUT);
+        double timeoutSeconds = timeout == null ? deadlines.get(serviceClass) : seconds(timeout);
+        Map<String, String> attributes = attributes(headers.apply(ATTRIBUTES));
+        String prefix = attributes.getOrDefault(PREFIX, "");
+        String session = headers.apply(ROUTE_KEY);
+        String retried = headers.apply(RETRIED);
         return new Request(
                 id,
                 serviceClass,
                 tenant,
                 session == null ? key(id) : key(session),
-                prefix.isEmpty() ? 0 : key(prefix),
-                attrs.containsKey("prompt_len")
-                        ? number(attrs.get("prompt_len"), "X-Attrs prompt_len")
-                        : forward.body().length / 4.0,
-                number(attrs.getOrDefault("prefix_len", "0"), "X-Attrs prefix_len"),
-                number(attrs.getOrDefault("max_out", "0"), "X-Attrs max_out"),
-                now + wait,
+                prefix.isEmpty() ? NO_KEY : key(prefix),
+                attributes.containsKey(PROMPT_TOKENS)
+                        ? attribute(attributes, PROMPT_TOKENS)
+                        : forward.body().length / BODY_BYTES_PER_TOKEN,
+                attribute(attributes, PREFIX_TOKENS),
+                attribute(attributes, MAX_OUTPUT_TOKENS),
+                now + timeoutSeconds,
                 retried != null,
-                "again".equals(retried),
+                RETRIED_AGAIN.equals(retried),
                 forward);
     }
 
+    private static String id(UnaryOperator<String> headers) {
+        String id = headers.apply(REQUEST_ID);
+        if (id == null || id.length() > MAX_ID_CHARACTERS || !ID.matcher(id).matches()) {
+            throw new InvalidInputException(REQUEST_ID + " is missing or malformed");
+        }
+        return id;
+    }
+
     private static int index(List<String> names, String name, String header) {
-        // An immutable list throws when it is asked for null.
-        int index = name == null ? -1 : names.indexOf(name);
-        if (index < 0 && name != null) {
+        if (name == null) {
+            throw new InvalidInputException(header + " is missing");
+        }
+        int index = names.indexOf(name);
+        if (index < 0) {
             // A head is read byte by byte; a name beyond ASCII comes in UTF-8.
             index = names.indexOf(new String(name.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8));
         }
         if (index < 0) {
-            throw new InvalidInputException(header + (name == null ? " is missing" : " names nothing known: " + name));
+            throw new InvalidInputException(header + " names nothing known: " + name);
         }
         return index;
     }
 
-    private static double number(String text, String header) {
-        if (NUMBER.matcher(text).matches()) {
-            return Double.parseDouble(text);
+    private static double attribute(Map<String, String> attributes, String name) {
+        String text = attributes.getOrDefault(name, "0");
+        if (!isNumber(text)) {
+            throw notANumber(ATTRIBUTES + " " + name, text);
         }
-        throw new InvalidInputException(header + " is not a number from 0 on: " + text);
+        return Double.parseDouble(text);
     }
 
-    private static Map<String, String> pairs(String text) {
-        Map<String, String> pairs = new HashMap<>();
-        for (String pair : text == null || text.isBlank() ? new String[0] : text.split(",")) {
+    private static double seconds(String text) {
+        if (!isNumber(text)) {
+            throw notANumber(TIMEOUT, text);
+        }
+        return Double.parseDouble(text);
+    }
+
+    private static boolean isNumber(String text) {
+        return NUMBER.matcher(text).matches();
+    }
+
+    private static InvalidInputException notANumber(String place, String text) {
+        return new InvalidInputException(place + " is not a number from 0 on: " + text);
+    }
+
+    /** The pairs of a list of name=value; of a name that stands twice the last value holds. */
+    private static Map<String, String> attributes(String text) {
+        Map<String, String> attributes = new HashMap<>();
+        if (text == null || text.isBlank()) {
+            return attributes;
+        }
+        for (String pair : text.split(",")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
-                throw new InvalidInputException("X-Attrs is not a list of name=value: " + text);
+                throw new InvalidInputException(ATTRIBUTES + " is not a list of name=value: " + text);
             }
-            pairs.put(
-                    pair.substring(0, equals).trim(), pair.substring(equals + 1).trim());
+            String name = pair.substring(0, equals).trim();
+            attributes.put(name, pair.substring(equals + 1).trim());
         }
-        return pairs;
+        return attributes;
     }
 
-    /** A name as a number that is the same at every gateway and never 0 (FNV-1a). */
+    /** A name as a number that is the same at every gateway and never 0 (64-bit FNV-1a of its UTF-8). */
     public static long key(String name) {
-        long hash = 0xcbf29ce484222325L;
-        for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ b & 0xff) * 0x100000001b3L;
+        long hash = FNV_OFFSET_BASIS;
+        for (byte octet : name.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ octet & BYTE_MASK) * FNV_PRIME;
         }
-        return hash == 0 ? 1 : hash;
+        return hash == NO_KEY ? 1 : hash;
     }
 }
--- /dev/null
+++ b/src/main/java/dunlinladder/transport/platform/package-info.java
@@ -0,0 +1,9 @@
+/**
+ * The front that speaks the platform's own protocol: a request tells its id, class, tenant, deadline and lengths in
+ * headers, and its body goes to the engines as it came.
+ *
+ * <p>Read {@link dunlinladder.transport.platform.PlatformExchange} first; its headers are read by
+ * {@link dunlinladder.transport.platform.PlatformRequestReader}. Uses {@code core}, {@code transport.http},
+ * {@code transport.engine} and {@code transport.json}.
+ */
+package dunlinladder.transport.platform;
