--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -5,8 +5,10 @@
 import dunlinladder.core.EngineRegistry;
 import dunlinladder.core.Limits;
 import dunlinladder.core.SendGuard;
+import dunlinladder.core.ServiceRules;
 import dunlinladder.membership.EndpointUpdate;
 import dunlinladder.migration.EngineEligibility;
+import dunlinladder.migration.EngineStage;
 import dunlinladder.migration.Generation;
 import dunlinladder.routing.BlockingRequestRouter;
 import dunlinladder.routing.Router;
@@ -20,7 +22,9 @@
 import dunlinladder.transport.platform.PlatformExchange;
 import dunlinladder.transport.platform.PlatformRequestReader;
 import java.io.IOException;
+import java.util.EnumSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -65,22 +69,29 @@
         this.limits = config.limits();
         Clock clock = new Clock();
         EngineConnectionPool connections = new EngineConnectionPool(limits, timer);
-        SendGuard gate = new SendGuard(engines, clock, limits.gateSeconds());
+        SendGuard gate = new SendGuard(engines, clock, limits.sendGuardSeconds());
         client = new EngineClient(connections, engines, gate, clock, limits, timer);
         SchedulingLagMonitor pulse = new SchedulingLagMonitor(connections);
         decisions = new BlockingRequestRouter(
-                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.lagSeconds());
+                config.settings(), config.seed(), clock, client::release, pulse::lag, limits.maxLagSeconds());
         timer.scheduleWithFixedDelay(
                 () -> {
-                    pulse.beat();
+                    pulse.probe();
                     decisions.pulse();
                 },
                 0,
-                (long) (limits.pulseSeconds() * 1e6),
+                (long) (limits.lagCheckSeconds() * 1e6),
                 TimeUnit.MICROSECONDS);
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
                 4, limits.requests(), 10, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, "request"));
-        dispatcher = new Dispatcher(decisions, engines, client, pool, clock, limits, policy(config.settings()));
+        dispatcher = new Dispatcher(
+                decisions,
+                engines,
+                client,
+                pool,
+                clock,
+                new Dispatcher.Settings(
+                        limits.requests(), limits.answerMarginSeconds(), serviceRules(config.settings())));
         AtomicLong bodies = new AtomicLong();
         PlatformExchange.Shared shared = new PlatformExchange.Shared(
                 dispatcher,
@@ -102,21 +113,21 @@
         known = known(config);
         watch = new EndpointWatcher(
                 hosts, config.list(), clock, known == null ? 0 : known.version(), config.seed(), this::learn);
-        gate.setUnreadUpdateCheck(watch::unread);
+        gate.setUnreadUpdateCheck(watch::hasUnreadUpdate);
         servers = chat == null ? List.of(server) : List.of(server, chat);
         timer.scheduleWithFixedDelay(() -> servers.forEach(HttpListener::sweep), 100, 100, TimeUnit.MILLISECONDS);
         timer.scheduleWithFixedDelay(connections::closeIdle, 1, 1, TimeUnit.SECONDS);
     }
 
-    private static Dispatcher.Policy policy(Router.Settings settings) {
-        return new Dispatcher.Policy() {
+    private static ServiceRules serviceRules(Router.Settings settings) {
+        return new ServiceRules() {
             @Override
-            public boolean once(int serviceClass) {
+            public boolean isNonIdempotent(int serviceClass) {
                 return settings.classes().get(serviceClass).effect() == Router.Effect.UNSAFE;
             }
 
             @Override
-            public boolean readsOnly(int kind) {
+            public boolean isPrefillOnly(int kind) {
                 return kind < settings.roleByKind().size()
                         && settings.roleByKind().get(kind) == Router.Role.PREFILL;
             }
@@ -128,21 +139,21 @@
         List<Router.Role> roles = config.settings().roleByKind();
         EngineEligibility routing = new EngineEligibility(
                 operator.settings().engines(),
-                operator.settings().move(),
+                Optional.ofNullable(operator.settings().move()),
                 engines::listed,
                 engine -> switch (engine.kind() < roles.size() ? roles.get(engine.kind()) : Router.Role.MIXED) {
-                    case PREFILL -> EngineEligibility.READS;
-                    case DECODE -> EngineEligibility.WRITES;
-                    case MIXED -> EngineEligibility.READS | EngineEligibility.WRITES;
+                    case PREFILL -> EnumSet.of(EngineStage.PREFILL);
+                    case DECODE -> EnumSet.of(EngineStage.DECODE);
+                    case MIXED -> EnumSet.allOf(EngineStage.class);
                 },
                 config.seed(),
                 clock.now());
         String[] told = {""};
         timer.scheduleWithFixedDelay(
                 () -> {
-                    routing.tick(clock.now());
-                    if (!told[0].equals(routing.standing())) {
-                        told[0] = routing.standing();
+                    routing.advance(clock.now());
+                    if (!told[0].equals(routing.statusText())) {
+                        told[0] = routing.statusText();
                         LOG.info("event=generations {}", told[0]);
                     }
                 },
@@ -183,7 +194,7 @@
     void whileDiscoveryIsLost(Runnable look) {
         timer.scheduleWithFixedDelay(
                 () -> {
-                    if (watch.failing()) {
+                    if (watch.lastCallFailed()) {
                         daemon(look, "configuration").start();
                     }
                 },
@@ -250,7 +261,7 @@
             each.stopListening();
         }
         // What is held at engines for a request outlives its answer until a release has arrived.
-        while (dispatcher.activeRequests() > 0 || client.releasing() > 0) {
+        while (dispatcher.activeRequests() > 0 || client.openReleases() > 0) {
             closeIdle();
             Thread.sleep(20);
         }
--- a/src/main/java/dunlinladder/transport/http/RequestBody.java
+++ b/src/main/java/dunlinladder/transport/http/RequestBody.java
@@ -55,7 +55,7 @@
     /** Creates an empty body; {@code heldBytes} counts the bytes of all bodies that are held. */
     RequestBody(Limits limits, AtomicLong heldBytes) {
         this.maxBytes = limits.bodyBytes();
-        this.maxHeldBytes = limits.bodiesBytes();
+        this.maxHeldBytes = limits.totalBodyBytes();
         this.heldBytes = heldBytes;
     }
 
--- a/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
+++ b/src/main/java/dunlinladder/transport/platform/PlatformRequestReader.java
@@ -72,22 +72,30 @@
         Map<String, String> attributes = attributes(headers.apply(ATTRIBUTES));
         String prefix = attributes.getOrDefault(PREFIX, "");
         String session = headers.apply(ROUTE_KEY);
-        String retried = headers.apply(RETRIED);
-        return new Request(
-                id,
-                serviceClass,
-                tenant,
+        Request.Prompt prompt = new Request.Prompt(
                 session == null ? key(id) : key(session),
                 prefix.isEmpty() ? NO_KEY : key(prefix),
                 attributes.containsKey(PROMPT_TOKENS)
                         ? attribute(attributes, PROMPT_TOKENS)
                         : forward.body().length / BODY_BYTES_PER_TOKEN,
                 attribute(attributes, PREFIX_TOKENS),
-                attribute(attributes, MAX_OUTPUT_TOKENS),
+                attribute(attributes, MAX_OUTPUT_TOKENS));
+        return new Request(
+                id,
+                serviceClass,
+                tenant,
+                prompt,
                 now + timeoutSeconds,
-                retried != null,
-                RETRIED_AGAIN.equals(retried),
-                forward);
+                resubmission(headers.apply(RETRIED)),
+                forward,
+                Request.ANY_ENGINE);
+    }
+
+    private static Request.Resubmission resubmission(String retried) {
+        if (retried == null) {
+            return Request.Resubmission.NONE;
+        }
+        return retried.equals(RETRIED_AGAIN) ? Request.Resubmission.RETURNED : Request.Resubmission.RETRIED;
     }
 
     private static String id(UnaryOperator<String> headers) {
