--- a/src/bench/java/dunlinladder/bench/TranslationBench.java
+++ b/src/bench/java/dunlinladder/bench/TranslationBench.java
@@ -94,32 +94,32 @@
             from = ApiFormat.valueOf(pair.split(" ")[0]);
             to = ApiFormat.valueOf(pair.split(" ")[1]);
             ReplyEncoder writer = ReplyEncoder.of(from, identity());
-            StringBuilder text = new StringBuilder(writer.stream(new ReplyEvent.Begin("e", "e", 1)));
-            text.append(writer.stream(new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null)));
+            StringBuilder text = new StringBuilder(writer.encode(new ReplyEvent.Started("e", "e", 1)));
+            text.append(writer.encode(new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null)));
             for (int i = 0; i < EVENTS; i++) {
-                text.append(writer.stream(new ReplyEvent.Grow(0, 0, "four words at once ", null)));
+                text.append(writer.encode(new ReplyEvent.PartDelta(0, 0, "four words at once ", null)));
             }
-            text.append(writer.stream(new ReplyEvent.Close(0, 0)));
-            text.append(writer.stream(new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null)));
-            text.append(writer.stream(new ReplyEvent.Usage(9, 0, 800, -1)));
-            text.append(writer.stream(new ReplyEvent.End()));
+            text.append(writer.encode(new ReplyEvent.PartFinished(0, 0)));
+            text.append(writer.encode(new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null)));
+            text.append(writer.encode(new ReplyEvent.Usage(9, 0, 800, -1)));
+            text.append(writer.encode(new ReplyEvent.Completed()));
             stream = text.toString().getBytes(StandardCharsets.UTF_8);
         }
     }
 
     private static ReplyEncoder.Identity identity() {
-        return new ReplyEncoder.Identity("7", "shelf", 5, true, false, null);
+        return new ReplyEncoder.Identity("7", "shelf", 5, true, false, "");
     }
 
     /** A request's bytes in, the other format's bytes out. */
     @Benchmark
     public int request(Request request) {
-        return RequestTranslator.write(
+        return RequestTranslator.encode(
                         request.to,
-                        RequestTranslator.read(
+                        RequestTranslator.decode(
                                 request.from,
                                 StrictJson.body(request.body),
-                                RequestTranslator.Unknown.PASS,
+                                RequestTranslator.UnknownFields.PASS,
                                 new ArrayList<>()),
                         800,
                         new ArrayList<>())
@@ -134,11 +134,11 @@
     public int event(Answer answer) {
         ReplyTranslator translation = new ReplyTranslator(answer.from, answer.to, identity(), true);
         int[] length = {0};
-        translation.stream(
+        translation.translateChunk(
                 ByteBuffer.wrap(answer.stream), text -> length[0] += text.getBytes(StandardCharsets.UTF_8).length);
-        translation.end(text -> length[0] += text.length());
-        if (!translation.whole()) {
-            throw new IllegalStateException("not whole: " + translation.fault());
+        translation.endOfStream(text -> length[0] += text.length());
+        if (!translation.isComplete()) {
+            throw new IllegalStateException("not whole: " + translation.error());
         }
         return length[0];
     }
--- a/src/main/java/dunlinladder/apiformat/ApiError.java
+++ b/src/main/java/dunlinladder/apiformat/ApiError.java
@@ -1,36 +1,43 @@
 package dunlinladder.apiformat;
 
+import java.util.Optional;
+
 /**
- * Why a request was not answered, in no format.
+ * Why a request was not answered, independent of any API format.
  *
- * @param kind which decides the status, the type and the code in the client's format
- * @param message for the client's people
- * @param field the faulty field, or null
+ * @param kind decides the status, the type and the code in the client's format
+ * @param message what the client's developers are to read
+ * @param field the faulty field of the request, where the error is of one
  */
-public record ApiError(Kind kind, String message, String field) {
+public record ApiError(Kind kind, String message, Optional<String> field) {
 
-    /** The kinds of faults; each format has a row for each in {@link ErrorTranslator}. */
+    /** The kinds of errors; {@link ErrorTable} has a row for each in each format. */
     public enum Kind {
         /** The request is malformed. */
         INVALID,
-        /** The request is in order, but no server that may have it can express a field. */
+        /** The request is valid, but no engine that may serve it speaks a format that can express one of its fields. */
         UNTRANSLATABLE,
+        /** The client did not say who it is. */
         AUTHENTICATION,
+        /** The client may not do this. */
         PERMISSION,
+        /** There is no such path or model. */
         NOT_FOUND,
+        /** The path does not take this HTTP method. */
         METHOD,
+        /** The request exceeds a limit of size. */
         TOO_LARGE,
-        /** The client or its shop is over a limit. */
+        /** The client or its tenant is over its rate limit. */
         RATE_LIMIT,
-        /** No room now; it has not run. */
+        /** There is no capacity now; the request has not run. */
         OVERLOADED,
-        /** No answer in time. */
+        /** There was no answer in time. */
         TIMEOUT,
         /** The content was filtered. */
         FILTERED,
-        /** The engine failed; it may have run. */
+        /** The engine failed; the request may have run. */
         SERVER,
-        /** The engine's answer can't be understood; it may have run. */
+        /** The engine's reply cannot be understood; the request may have run. */
         GARBLED,
         /** The gateway failed. */
         INTERNAL
--- a/src/main/java/dunlinladder/apiformat/ApiFormat.java
+++ b/src/main/java/dunlinladder/apiformat/ApiFormat.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The published request formats that are spoken, each by clients and by engines. */
+/** The published API formats that clients and engines may speak. */
 public enum ApiFormat {
 
-    /** The legacy text API. */
+    /** The legacy text completions API. */
     COMPLETIONS("/v1/completions"),
     /** Chat completions. */
     CHAT("/v1/chat/completions"),
-    /** The newer format of items and typed events. */
+    /** The responses API, with items and typed events. */
     RESPONSES("/v1/responses"),
-    /** Content blocks, with the system text apart. */
+    /** The messages API, with content blocks and the system text apart. */
     MESSAGES("/v1/messages");
 
     private final String path;
@@ -21,17 +21,17 @@
         this.path = path;
     }
 
-    /** The path at which requests of this format are posted. */
+    /** The path to which requests of this format are posted. */
     public String path() {
         return path;
     }
 
-    /** The name by which operators' files call it. */
+    /** The name by which configuration files call it. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The format of a name in an operator's file, if it is one. */
+    /** The format that a configuration file names, if there is one of that name. */
     public static Optional<ApiFormat> of(String key) {
         for (ApiFormat format : values()) {
             if (format.key().equals(key)) {
--- a/src/main/java/dunlinladder/apiformat/ContentPart.java
+++ b/src/main/java/dunlinladder/apiformat/ContentPart.java
@@ -1,21 +1,29 @@
 package dunlinladder.apiformat;
 
-/** A piece of a message in the neutral model. */
+/** A part of a message's content in the neutral model. Components that a format may leave out are null. */
 public sealed interface ContentPart {
 
-    /** The kinds of pieces, which formats carry or not. */
+    /** The kinds of content parts; {@link TranslationTable} says which format carries which. */
     enum Kind {
+        /** Text. */
         TEXT,
+        /** An image. */
         IMAGE,
+        /** Recorded sound. */
         AUDIO,
+        /** A file. */
         FILE,
+        /** The model's call of a tool. */
         CALL,
+        /** The result of a call of a tool. */
         RESULT,
+        /** The model's reasoning. */
         THOUGHT,
+        /** The model's refusal to answer, which is a reply like any other. */
         REFUSAL
     }
 
-    /** Its kind. */
+    /** The part's kind. */
     Kind kind();
 
     /** Text. */
@@ -26,7 +34,12 @@
         }
     }
 
-    /** A picture by its address, which may be a {@code data:} one; {@code detail} may be null. */
+    /**
+     * An image.
+     *
+     * @param url its URL, which may be a {@code data:} one
+     * @param detail the resolution at which the model should see it, or null
+     */
     record Image(String url, String detail) implements ContentPart {
         @Override
         public Kind kind() {
@@ -34,7 +47,12 @@
         }
     }
 
-    /** Sound, base64, in a format such as {@code wav}. */
+    /**
+     * Recorded sound.
+     *
+     * @param data in base64
+     * @param format such as {@code wav}
+     */
     record Audio(String data, String format) implements ContentPart {
         @Override
         public Kind kind() {
@@ -42,7 +60,13 @@
         }
     }
 
-    /** A file: its content as a {@code data:} address, or an id; the other is null, as may be the name. */
+    /**
+     * A file, by its content or by its id.
+     *
+     * @param name the file's name, or null
+     * @param data its content as a {@code data:} URL, or null
+     * @param id the id under which the engine stores it, or null
+     */
     record File(String name, String data, String id) implements ContentPart {
         @Override
         public Kind kind() {
@@ -50,7 +74,13 @@
         }
     }
 
-    /** A tool that the model called; {@code arguments} is JSON text. */
+    /**
+     * The model's call of a tool.
+     *
+     * @param id by which the result refers to the call
+     * @param name of the tool
+     * @param arguments JSON as text
+     */
     record Call(String id, String name, String arguments) implements ContentPart {
         @Override
         public Kind kind() {
@@ -58,7 +88,13 @@
         }
     }
 
-    /** What a called tool gave. */
+    /**
+     * The result of a call of a tool.
+     *
+     * @param callId of the call
+     * @param text what the tool returned
+     * @param error whether the tool failed
+     */
     record Result(String callId, String text, boolean error) implements ContentPart {
         @Override
         public Kind kind() {
@@ -66,15 +102,20 @@
         }
     }
 
-    /** The model's own reasoning; {@code seal} is what the maker signs or encrypts it with, or null. */
-    record Thought(String text, String seal) implements ContentPart {
+    /**
+     * The model's reasoning.
+     *
+     * @param text of the reasoning or its summary; empty where all of it is encrypted
+     * @param signature with which the engine signs or encrypts it, or null
+     */
+    record Thought(String text, String signature) implements ContentPart {
         @Override
         public Kind kind() {
             return Kind.THOUGHT;
         }
     }
 
-    /** The model's own refusal, which is an answer. */
+    /** The model's refusal to answer. */
     record Refusal(String text) implements ContentPart {
         @Override
         public Kind kind() {
--- a/src/main/java/dunlinladder/apiformat/Conversation.java
+++ b/src/main/java/dunlinladder/apiformat/Conversation.java
@@ -4,50 +4,54 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * A request in no format: what it asks for, the messages so far, and the fields that no table knows.
+ * A request in the neutral model, independent of any API format: its parameters, its messages, and the fields that the
+ * client's format does not define.
  *
- * @param from the format in which it came
- * @param settings what it asks for, in neutral shapes, by setting
- * @param unknown fields that the format's table does not have, by name; kept only where the operator passes them on
- * @param legacy whether tools were given by the older names, and so are to be called by them
+ * @param from the client's format
+ * @param parameters the values that the client gave, each in the neutral form of its {@link ParameterCodec}
+ * @param messages the conversation so far, oldest first
+ * @param unknownFields fields that the {@link FieldTable} of the client's format lacks, by dotted path; empty unless
+ *     the operator has them passed on
+ * @param legacyTools whether the client defined tools by the older field {@code functions}, so that calls must be
+ *     reported as {@code function_call}
  */
 public record Conversation(
         ApiFormat from,
-        Map<RequestParameter, JsonNode> settings,
-        List<Message> turns,
-        Map<String, JsonNode> unknown,
-        boolean legacy) {
+        Map<RequestParameter, JsonNode> parameters,
+        List<Message> messages,
+        Map<String, JsonNode> unknownFields,
+        boolean legacyTools) {
 
-    /** A setting's value; null where it was not given. */
-    public JsonNode get(RequestParameter setting) {
-        return settings.get(setting);
+    /** The neutral value of a parameter, if the client gave one. */
+    public Optional<JsonNode> get(RequestParameter parameter) {
+        return Optional.ofNullable(parameters.get(parameter));
     }
 
-    /** A setting as text; null where it was not given. */
-    public String text(RequestParameter setting) {
-        JsonNode value = settings.get(setting);
-        return value == null ? null : value.asText();
+    /** A parameter as text, if the client gave it. */
+    public Optional<String> text(RequestParameter parameter) {
+        return get(parameter).map(JsonNode::asText);
     }
 
-    /** A setting as a whole number, {@code absent} where it was not given. */
-    public long number(RequestParameter setting, long absent) {
-        JsonNode value = settings.get(setting);
+    /** A parameter as a whole number, or {@code absent} where the client gave none. */
+    public long number(RequestParameter parameter, long absent) {
+        JsonNode value = parameters.get(parameter);
         return value == null ? absent : value.asLong(absent);
     }
 
-    /** Whether a setting is given and true. */
-    public boolean flag(RequestParameter setting) {
-        JsonNode value = settings.get(setting);
+    /** Whether a parameter is given and true. */
+    public boolean flag(RequestParameter parameter) {
+        JsonNode value = parameters.get(parameter);
         return value != null && value.asBoolean();
     }
 
-    /** The kinds of parts that it holds. */
+    /** The kinds of content parts that the messages hold. */
     public Set<ContentPart.Kind> kinds() {
         Set<ContentPart.Kind> kinds = EnumSet.noneOf(ContentPart.Kind.class);
-        turns.forEach(turn -> turn.parts().forEach(part -> kinds.add(part.kind())));
+        messages.forEach(message -> message.parts().forEach(part -> kinds.add(part.kind())));
         return kinds;
     }
 }
--- a/src/main/java/dunlinladder/apiformat/Message.java
+++ b/src/main/java/dunlinladder/apiformat/Message.java
@@ -2,14 +2,24 @@
 
 import java.util.List;
 
-/** One message of a conversation; {@code name} of its author may be null. */
+/**
+ * One message of a conversation.
+ *
+ * @param role who speaks
+ * @param parts its content, in order
+ * @param name of the author, or null
+ */
 public record Message(Role role, List<ContentPart> parts, String name) {
 
     /** Who speaks. */
     public enum Role {
+        /** The operator of the client, with instructions. */
         SYSTEM,
+        /** The client's user. */
         USER,
+        /** The model. */
         ASSISTANT,
+        /** A tool that the model called. */
         TOOL
     }
 
@@ -18,12 +28,12 @@
         parts = List.copyOf(parts);
     }
 
-    /** Its text parts, one after the other. */
+    /** The text of all parts that are text, tool results or refusals, concatenated. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (ContentPart part : parts) {
-            if (part instanceof ContentPart.Text piece) {
-                text.append(piece.text());
+            if (part instanceof ContentPart.Text plain) {
+                text.append(plain.text());
             } else if (part instanceof ContentPart.Result result) {
                 text.append(result.text());
             } else if (part instanceof ContentPart.Refusal refusal) {
--- a/src/main/java/dunlinladder/apiformat/MessageCodec.java
+++ b/src/main/java/dunlinladder/apiformat/MessageCodec.java
@@ -18,7 +18,7 @@
 
     // ---- Reading ----
 
-    static List<Message> read(ApiFormat from, JsonNode body) {
+    static List<Message> decode(ApiFormat from, JsonNode body) {
         List<Message> turns = new ArrayList<>();
         switch (from) {
             case COMPLETIONS ->
@@ -266,14 +266,15 @@
 
     // ---- Writing ----
 
-    static void write(ApiFormat to, Conversation talk, ObjectNode body, List<String> warnings) {
+    static void encode(ApiFormat to, Conversation talk, ObjectNode body, List<String> warnings) {
         TranslationTable table = TranslationTable.of(talk.from(), to);
         List<Message> turns = new ArrayList<>();
-        for (Message turn : talk.turns()) {
+        for (Message turn : talk.messages()) {
             List<ContentPart> parts = new ArrayList<>();
             for (ContentPart part : turn.parts()) {
                 switch (table.action(part.kind())) {
-                    case REFUSED -> throw UntranslatableRequestException.lacking(named(talk.from(), part.kind()), to);
+                    case REFUSED ->
+                        throw UntranslatableRequestException.unsupported(partName(talk.from(), part.kind()), to);
                     case DROPPED ->
                         warnings.add("a part of type " + part.kind().name().toLowerCase(Locale.ROOT) + " was left out");
                     default -> parts.add(part);
@@ -285,7 +286,7 @@
         }
         switch (to) {
             case COMPLETIONS -> body.put("prompt", flatPrompt(turns, warnings));
-            case CHAT -> writeChat(turns, body, talk.legacy());
+            case CHAT -> writeChat(turns, body);
             case RESPONSES -> writeResponses(turns, body);
             case MESSAGES -> writeBlocks(turns, body);
             default -> throw new IllegalStateException(to.toString());
@@ -293,7 +294,7 @@
     }
 
     /** A kind of part, for messages to a client. */
-    static String named(ApiFormat from, ContentPart.Kind kind) {
+    static String partName(ApiFormat from, ContentPart.Kind kind) {
         return where(from) + " of type " + kind.name().toLowerCase(Locale.ROOT);
     }
 
@@ -322,7 +323,7 @@
         return prompt.append("Assistant:").toString();
     }
 
-    private static void writeChat(List<Message> turns, ObjectNode body, boolean legacy) {
+    private static void writeChat(List<Message> turns, ObjectNode body) {
         ArrayNode messages = body.putArray("messages");
         for (Message turn : turns) {
             for (ContentPart part : turn.parts()) {
@@ -434,8 +435,8 @@
                     if (!thought.text().isEmpty()) {
                         summary.addObject().put("type", "summary_text").put("text", thought.text());
                     }
-                    if (thought.seal() != null) {
-                        item.put("encrypted_content", thought.seal());
+                    if (thought.signature() != null) {
+                        item.put("encrypted_content", thought.signature());
                     }
                     input.add(item);
                 } else {
@@ -513,7 +514,7 @@
             node.put("type", "image").set("source", source(image.url()));
         } else if (part instanceof ContentPart.File file) {
             if (file.data() == null) {
-                throw UntranslatableRequestException.lacking("a file by its id", ApiFormat.MESSAGES);
+                throw UntranslatableRequestException.unsupported("a file by its id", ApiFormat.MESSAGES);
             }
             node.put("type", "document").set("source", source(file.data()));
             if (file.name() != null) {
@@ -530,12 +531,12 @@
                 node.put("is_error", true);
             }
         } else if (part instanceof ContentPart.Thought thought) {
-            if (thought.text().isEmpty() && thought.seal() != null) {
-                node.put("type", "redacted_thinking").put("data", thought.seal());
+            if (thought.text().isEmpty() && thought.signature() != null) {
+                node.put("type", "redacted_thinking").put("data", thought.signature());
             } else {
                 node.put("type", "thinking").put("thinking", thought.text());
-                if (thought.seal() != null) {
-                    node.put("signature", thought.seal());
+                if (thought.signature() != null) {
+                    node.put("signature", thought.signature());
                 }
             }
         } else {
--- a/src/main/java/dunlinladder/apiformat/ReplyDecoder.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyDecoder.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeSet;
 
 /**
@@ -36,7 +37,7 @@
     }
 
     /** One event of a stream: its {@code event:} name, which may be null, and its data. */
-    public final List<ReplyEvent> event(String name, String data) {
+    public final List<ReplyEvent> decodeEvent(String name, String data) {
         if (over) {
             return List.of();
         }
@@ -44,11 +45,11 @@
             done();
             return taken();
         }
-        JsonNode node = StrictJson.lenient(data);
-        if (node == null || !node.isObject()) {
+        JsonNode node = StrictJson.parse(data);
+        if (!node.isObject()) {
             garbled("an event is not a JSON object");
         } else if (node.path("error").isObject() && !node.has("choices")) {
-            fail(ErrorTranslator.read(0, node));
+            fail(ErrorTranslator.decode(0, node));
         } else {
             read(node.path("type").asText(name == null ? "" : name), node);
         }
@@ -56,7 +57,7 @@
     }
 
     /** A whole answer that was not streamed. */
-    public final List<ReplyEvent> whole(byte[] body) {
+    public final List<ReplyEvent> decodeComplete(byte[] body) {
         JsonNode node;
         try {
             node = StrictJson.body(body);
@@ -65,7 +66,7 @@
             return taken();
         }
         if (node.path("error").isObject()) {
-            fail(ErrorTranslator.read(0, node));
+            fail(ErrorTranslator.decode(0, node));
         } else {
             wholeAnswer(node);
         }
@@ -73,7 +74,7 @@
     }
 
     /** The connection's orderly end: an answer without its closing event has failed. */
-    public final List<ReplyEvent> end() {
+    public final List<ReplyEvent> endOfStream() {
         if (!over) {
             garbled("the answer ended without its closing event");
         }
@@ -102,7 +103,7 @@
     final void begin(JsonNode from, String created) {
         if (!begun) {
             begun = true;
-            out.add(new ReplyEvent.Begin(
+            out.add(new ReplyEvent.Started(
                     from.path("id").asText(""),
                     from.path("model").asText(""),
                     from.path(created).asLong()));
@@ -113,7 +114,7 @@
         if (!open.containsKey(key)) {
             int part = next.merge(choice, 1, Integer::sum) - 1;
             open.put(key, new int[] {choice, part});
-            out.add(new ReplyEvent.Open(choice, part, kind, callId, name));
+            out.add(new ReplyEvent.PartStarted(choice, part, kind, callId, name));
         }
     }
 
@@ -126,21 +127,21 @@
         if (at == null) {
             garbled("a piece of a part that is not open");
         } else if (!text.isEmpty() || logprobs != null) {
-            out.add(new ReplyEvent.Grow(at[0], at[1], text, logprobs));
+            out.add(new ReplyEvent.PartDelta(at[0], at[1], text, logprobs));
         }
     }
 
     final void seal(String key, String seal) {
         int[] at = open.get(key);
         if (at != null && seal != null && !seal.isEmpty()) {
-            out.add(new ReplyEvent.Seal(at[0], at[1], seal));
+            out.add(new ReplyEvent.PartSignature(at[0], at[1], seal));
         }
     }
 
     final void close(String key) {
         int[] at = open.remove(key);
         if (at != null) {
-            out.add(new ReplyEvent.Close(at[0], at[1]));
+            out.add(new ReplyEvent.PartFinished(at[0], at[1]));
         }
     }
 
@@ -151,7 +152,7 @@
                 .toList()
                 .forEach(this::close);
         if (finished.add(choice)) {
-            out.add(new ReplyEvent.Finish(choice, reason, sequence));
+            out.add(new ReplyEvent.ChoiceFinished(choice, reason, sequence));
         }
     }
 
@@ -165,7 +166,7 @@
             garbled("the answer ended before it was whole");
         } else {
             over = true;
-            out.add(new ReplyEvent.End());
+            out.add(new ReplyEvent.Completed());
         }
     }
 
@@ -175,7 +176,7 @@
     }
 
     final void garbled(String what) {
-        fail(new ApiError(ApiError.Kind.GARBLED, what, null));
+        fail(new ApiError(ApiError.Kind.GARBLED, what, Optional.empty()));
     }
 
     /** A number that may be missing. */
@@ -407,8 +408,8 @@
                     }
                 }
                 case "response.completed", "response.incomplete" -> over(event.path("response"));
-                case "response.failed" -> fail(ErrorTranslator.read(0, event.path("response")));
-                case "error" -> fail(ErrorTranslator.read(0, event));
+                case "response.failed" -> fail(ErrorTranslator.decode(0, event.path("response")));
+                case "error" -> fail(ErrorTranslator.decode(0, event));
                 default -> {}
             }
         }
@@ -432,7 +433,7 @@
         @Override
         void wholeAnswer(JsonNode body) {
             if (body.path("status").asText().equals("failed")) {
-                fail(ErrorTranslator.read(0, body));
+                fail(ErrorTranslator.decode(0, body));
                 return;
             }
             begin(body, "created_at");
@@ -523,7 +524,7 @@
                     usage(prompt, cached, output, -1);
                     ends();
                 }
-                case "error" -> fail(ErrorTranslator.read(0, event));
+                case "error" -> fail(ErrorTranslator.decode(0, event));
                 default -> {}
             }
         }
--- a/src/main/java/dunlinladder/apiformat/ReplyEncoder.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyEncoder.java
@@ -25,11 +25,12 @@
      * @param id of the answer, without the prefix that a format puts before it
      * @param model as the client named it
      * @param created in Unix seconds
-     * @param usage whether a stream ends with its usage, where the format leaves that to the client
-     * @param legacy whether tools are called by the older names
-     * @param echo the prompt that goes ahead of the answer, or null
+     * @param includeUsage whether a stream ends with its usage, where the format leaves that to the client
+     * @param legacyTools whether tools are called by the older names
+     * @param echo the prompt that is put before the reply; empty for none
      */
-    public record Identity(String id, String model, long created, boolean usage, boolean legacy, String echo) {}
+    public record Identity(
+            String id, String model, long created, boolean includeUsage, boolean legacyTools, String echo) {}
 
     final Identity identity;
     private final StringBuilder out = new StringBuilder();
@@ -50,7 +51,7 @@
     }
 
     /** The text of the stream that an event turns into; often none. */
-    public final String stream(ReplyEvent event) {
+    public final String encode(ReplyEvent event) {
         if (event instanceof ReplyEvent.Usage told) {
             usage = told;
         }
@@ -60,18 +61,18 @@
         return text;
     }
 
-    /** A whole answer out of all its events, which end with {@link ReplyEvent.End}. */
-    public final ObjectNode whole(List<ReplyEvent> events) {
+    /** A whole answer out of all its events, which end with {@link ReplyEvent.Completed}. */
+    public final ObjectNode encodeComplete(List<ReplyEvent> events) {
         Map<Integer, List<Piece>> choices = new LinkedHashMap<>();
-        Map<Integer, ReplyEvent.Finish> ends = new LinkedHashMap<>();
+        Map<Integer, ReplyEvent.ChoiceFinished> ends = new LinkedHashMap<>();
         for (ReplyEvent event : events) {
-            if (event instanceof ReplyEvent.Open open) {
+            if (event instanceof ReplyEvent.PartStarted open) {
                 choices.computeIfAbsent(open.choice(), c -> new ArrayList<>()).add(new Piece(open));
-            } else if (event instanceof ReplyEvent.Grow grow) {
+            } else if (event instanceof ReplyEvent.PartDelta grow) {
                 choices.get(grow.choice()).get(grow.part()).grow(grow);
-            } else if (event instanceof ReplyEvent.Seal seal) {
-                choices.get(seal.choice()).get(seal.part()).seal = seal.seal();
-            } else if (event instanceof ReplyEvent.Finish finish) {
+            } else if (event instanceof ReplyEvent.PartSignature seal) {
+                choices.get(seal.choice()).get(seal.part()).seal = seal.signature();
+            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
                 ends.put(finish.choice(), finish);
                 choices.computeIfAbsent(finish.choice(), c -> new ArrayList<>());
             } else if (event instanceof ReplyEvent.Usage told) {
@@ -83,16 +84,16 @@
 
     /** A part of a whole answer. */
     static final class Piece {
-        final ReplyEvent.Open open;
+        final ReplyEvent.PartStarted open;
         final StringBuilder text = new StringBuilder();
         final ArrayNode logprobs = JSON.arrayNode();
         String seal;
 
-        Piece(ReplyEvent.Open open) {
+        Piece(ReplyEvent.PartStarted open) {
             this.open = open;
         }
 
-        void grow(ReplyEvent.Grow grow) {
+        void grow(ReplyEvent.PartDelta grow) {
             text.append(grow.text());
             if (grow.logprobs() != null) {
                 grow.logprobs().forEach(logprobs::add);
@@ -104,7 +105,7 @@
     abstract void write(ReplyEvent event);
 
     /** The body of a whole answer. */
-    abstract ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends);
+    abstract ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.ChoiceFinished> ends);
 
     final void send(JsonNode data) {
         out.append("data: ").append(data).append("\n\n");
@@ -155,13 +156,13 @@
 
         @Override
         void write(ReplyEvent event) {
-            if (event instanceof ReplyEvent.Open open) {
+            if (event instanceof ReplyEvent.PartStarted open) {
                 kinds.computeIfAbsent(open.choice(), c -> new HashMap<>()).put(open.part(), open.kind());
                 if (open.kind() == ContentPart.Kind.CALL) {
                     Map<Integer, Integer> known = calls.computeIfAbsent(open.choice(), c -> new HashMap<>());
                     known.put(open.part(), known.size());
                     ObjectNode delta = JSON.objectNode();
-                    if (identity.legacy) {
+                    if (identity.legacyTools) {
                         delta.putObject("function_call")
                                 .put("name", open.name())
                                 .put("arguments", "");
@@ -177,14 +178,14 @@
                     }
                     chunk(open.choice(), delta, null, null);
                 }
-            } else if (event instanceof ReplyEvent.Grow grow) {
+            } else if (event instanceof ReplyEvent.PartDelta grow) {
                 grow(grow);
-            } else if (event instanceof ReplyEvent.Finish finish) {
-                chunk(finish.choice(), JSON.objectNode(), null, reason(finish.reason(), identity.legacy));
+            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
+                chunk(finish.choice(), JSON.objectNode(), null, reason(finish.reason(), identity.legacyTools));
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send(ErrorTranslator.write(ApiFormat.CHAT, failed.fault()));
-            } else if (event instanceof ReplyEvent.End) {
-                if (identity.usage) {
+                send(ErrorTranslator.encode(ApiFormat.CHAT, failed.error()));
+            } else if (event instanceof ReplyEvent.Completed) {
+                if (identity.includeUsage) {
                     ObjectNode last = envelope("chatcmpl-", "chat.completion.chunk");
                     last.putArray("choices");
                     last.set("usage", chatUsage());
@@ -194,11 +195,11 @@
             }
         }
 
-        private void grow(ReplyEvent.Grow grow) {
+        private void grow(ReplyEvent.PartDelta grow) {
             ObjectNode delta = JSON.objectNode();
             switch (kinds.get(grow.choice()).get(grow.part())) {
                 case CALL -> {
-                    if (identity.legacy) {
+                    if (identity.legacyTools) {
                         delta.putObject("function_call").put("arguments", grow.text());
                     } else {
                         delta.putArray("tool_calls")
@@ -242,7 +243,7 @@
         }
 
         @Override
-        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends) {
+        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.ChoiceFinished> ends) {
             ObjectNode body = envelope("chatcmpl-", "chat.completion");
             ArrayNode list = body.putArray("choices");
             choices.forEach((index, pieces) -> {
@@ -277,7 +278,7 @@
                 if (!thought.isEmpty()) {
                     message.put("reasoning_content", thought.toString());
                 }
-                if (!called.isEmpty() && identity.legacy) {
+                if (!called.isEmpty() && identity.legacyTools) {
                     message.set("function_call", called.get(0).get("function"));
                 } else if (!called.isEmpty()) {
                     message.set("tool_calls", called);
@@ -285,7 +286,7 @@
                 if (!logprobs.isEmpty()) {
                     choice.putObject("logprobs").set("content", logprobs);
                 }
-                choice.put("finish_reason", reason(ends.get(index).reason(), identity.legacy));
+                choice.put("finish_reason", reason(ends.get(index).reason(), identity.legacyTools));
             });
             body.set("usage", chatUsage());
             return body;
@@ -304,18 +305,18 @@
 
         @Override
         void write(ReplyEvent event) {
-            if (event instanceof ReplyEvent.Open open) {
+            if (event instanceof ReplyEvent.PartStarted open) {
                 kinds.computeIfAbsent(open.choice(), c -> new HashMap<>()).put(open.part(), open.kind());
-            } else if (event instanceof ReplyEvent.Grow grow) {
+            } else if (event instanceof ReplyEvent.PartDelta grow) {
                 if (visible(kinds.get(grow.choice()).get(grow.part()))) {
                     chunk(grow.choice(), grow.text(), grow.logprobs(), null);
                 }
-            } else if (event instanceof ReplyEvent.Finish finish) {
+            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
                 chunk(finish.choice(), "", null, reason(finish.reason()));
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send(ErrorTranslator.write(ApiFormat.COMPLETIONS, failed.fault()));
-            } else if (event instanceof ReplyEvent.End) {
-                if (identity.usage) {
+                send(ErrorTranslator.encode(ApiFormat.COMPLETIONS, failed.error()));
+            } else if (event instanceof ReplyEvent.Completed) {
+                if (identity.includeUsage) {
                     ObjectNode last = envelope("cmpl-", "text_completion");
                     last.putArray("choices");
                     last.set("usage", chatUsage());
@@ -330,7 +331,7 @@
         }
 
         private void chunk(int choice, String text, JsonNode logprobs, String reason) {
-            boolean first = echoed.put(choice, true) == null && identity.echo != null;
+            boolean first = echoed.put(choice, true) == null;
             ObjectNode node = envelope("cmpl-", "text_completion");
             ObjectNode each = node.putArray("choices")
                     .addObject()
@@ -368,11 +369,11 @@
         }
 
         @Override
-        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends) {
+        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.ChoiceFinished> ends) {
             ObjectNode body = envelope("cmpl-", "text_completion");
             ArrayNode list = body.putArray("choices");
             choices.forEach((index, pieces) -> {
-                StringBuilder text = new StringBuilder(identity.echo == null ? "" : identity.echo);
+                StringBuilder text = new StringBuilder(identity.echo);
                 ArrayNode logprobs = JSON.arrayNode();
                 pieces.stream().filter(piece -> visible(piece.open.kind())).forEach(piece -> {
                     text.append(piece.text);
@@ -407,18 +408,18 @@
                 emit("response.created", JSON.objectNode().set("response", response("in_progress", List.of())));
                 emit("response.in_progress", JSON.objectNode().set("response", response("in_progress", List.of())));
             }
-            if (event instanceof ReplyEvent.Open opened) {
+            if (event instanceof ReplyEvent.PartStarted opened) {
                 open(opened);
-            } else if (event instanceof ReplyEvent.Grow grow) {
+            } else if (event instanceof ReplyEvent.PartDelta grow) {
                 grow(grow);
-            } else if (event instanceof ReplyEvent.Seal seal) {
-                all.get(seal.part()).seal = seal.seal();
-            } else if (event instanceof ReplyEvent.Close closed) {
+            } else if (event instanceof ReplyEvent.PartSignature seal) {
+                all.get(seal.part()).seal = seal.signature();
+            } else if (event instanceof ReplyEvent.PartFinished closed) {
                 close(closed.part());
-            } else if (event instanceof ReplyEvent.Finish finish) {
+            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
                 reason = finish.reason();
             } else if (event instanceof ReplyEvent.Failed failed) {
-                ObjectNode error = (ObjectNode) ErrorTranslator.write(ApiFormat.RESPONSES, failed.fault())
+                ObjectNode error = (ObjectNode) ErrorTranslator.encode(ApiFormat.RESPONSES, failed.error())
                         .get("error");
                 if (begun) {
                     ObjectNode response = response("failed", all);
@@ -429,7 +430,7 @@
                 } else {
                     emit("error", error);
                 }
-            } else if (event instanceof ReplyEvent.End) {
+            } else if (event instanceof ReplyEvent.Completed) {
                 boolean whole = reason != Reason.LENGTH && reason != Reason.FILTER;
                 emit(
                         whole ? "response.completed" : "response.incomplete",
@@ -457,7 +458,7 @@
                     + identity.id + "_" + piece.open.part();
         }
 
-        private void open(ReplyEvent.Open opened) {
+        private void open(ReplyEvent.PartStarted opened) {
             Piece piece = new Piece(opened);
             all.add(piece);
             open.put(opened.part(), piece);
@@ -485,7 +486,7 @@
             return piece.open.kind() == ContentPart.Kind.TEXT || piece.open.kind() == ContentPart.Kind.REFUSAL;
         }
 
-        private void grow(ReplyEvent.Grow grow) {
+        private void grow(ReplyEvent.PartDelta grow) {
             Piece piece = open.get(grow.part());
             piece.grow(grow);
             ObjectNode at = at(grow.part(), itemId(piece));
@@ -612,7 +613,7 @@
         }
 
         @Override
-        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends) {
+        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.ChoiceFinished> ends) {
             reason = ends.get(0).reason();
             return response(
                     reason == Reason.LENGTH || reason == Reason.FILTER ? "incomplete" : "completed", choices.get(0));
@@ -623,7 +624,7 @@
     private static final class Messages extends ReplyEncoder {
 
         private final Map<Integer, ContentPart.Kind> kinds = new HashMap<>();
-        private ReplyEvent.Finish finish;
+        private ReplyEvent.ChoiceFinished finish;
         private boolean begun;
         /** The block that is open, -1 for none, and what waits for its end: blocks never overlap here. */
         private int current = -1;
@@ -649,11 +650,11 @@
             }
             if (part(event) >= 0) {
                 inOrder(event);
-            } else if (event instanceof ReplyEvent.Finish told) {
+            } else if (event instanceof ReplyEvent.ChoiceFinished told) {
                 finish = told;
             } else if (event instanceof ReplyEvent.Failed failed) {
-                send("error", ErrorTranslator.write(ApiFormat.MESSAGES, failed.fault()));
-            } else if (event instanceof ReplyEvent.End) {
+                send("error", ErrorTranslator.encode(ApiFormat.MESSAGES, failed.error()));
+            } else if (event instanceof ReplyEvent.Completed) {
                 ObjectNode last = JSON.objectNode().put("type", "message_delta");
                 last.putObject("delta")
                         .put("stop_reason", reason(finish.reason()))
@@ -665,13 +666,13 @@
         }
 
         private static int part(ReplyEvent event) {
-            return event instanceof ReplyEvent.Open open
+            return event instanceof ReplyEvent.PartStarted open
                     ? open.part()
-                    : event instanceof ReplyEvent.Grow grow
+                    : event instanceof ReplyEvent.PartDelta grow
                             ? grow.part()
-                            : event instanceof ReplyEvent.Seal seal
+                            : event instanceof ReplyEvent.PartSignature seal
                                     ? seal.part()
-                                    : event instanceof ReplyEvent.Close close ? close.part() : -1;
+                                    : event instanceof ReplyEvent.PartFinished close ? close.part() : -1;
         }
 
         private void inOrder(ReplyEvent event) {
@@ -681,7 +682,7 @@
             }
             current = part(event);
             block(event);
-            if (event instanceof ReplyEvent.Close) {
+            if (event instanceof ReplyEvent.PartFinished) {
                 current = -1;
                 List<ReplyEvent> next = List.copyOf(waiting);
                 waiting.clear();
@@ -690,7 +691,7 @@
         }
 
         private void block(ReplyEvent event) {
-            if (event instanceof ReplyEvent.Open open) {
+            if (event instanceof ReplyEvent.PartStarted open) {
                 kinds.put(open.part(), open.kind());
                 ObjectNode block = switch (open.kind()) {
                     case CALL ->
@@ -712,7 +713,8 @@
                                 .put("type", "content_block_start")
                                 .put("index", open.part())
                                 .set("content_block", block));
-            } else if (event instanceof ReplyEvent.Grow grow && !grow.text().isEmpty()) {
+            } else if (event instanceof ReplyEvent.PartDelta grow
+                    && !grow.text().isEmpty()) {
                 delta(
                         grow.part(),
                         switch (kinds.get(grow.part())) {
@@ -725,11 +727,11 @@
                             default ->
                                 JSON.objectNode().put("type", "text_delta").put("text", grow.text());
                         });
-            } else if (event instanceof ReplyEvent.Seal seal) {
+            } else if (event instanceof ReplyEvent.PartSignature seal) {
                 delta(
                         seal.part(),
-                        JSON.objectNode().put("type", "signature_delta").put("signature", seal.seal()));
-            } else if (event instanceof ReplyEvent.Close close) {
+                        JSON.objectNode().put("type", "signature_delta").put("signature", seal.signature()));
+            } else if (event instanceof ReplyEvent.PartFinished close) {
                 send(
                         "content_block_stop",
                         JSON.objectNode().put("type", "content_block_stop").put("index", close.part()));
@@ -773,7 +775,7 @@
         }
 
         @Override
-        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.Finish> ends) {
+        ObjectNode body(Map<Integer, List<Piece>> choices, Map<Integer, ReplyEvent.ChoiceFinished> ends) {
             ObjectNode body = message();
             ArrayNode content = body.putArray("content");
             for (Piece piece : choices.get(0)) {
@@ -791,7 +793,7 @@
                     default -> block.put("type", "text").put("text", piece.text.toString());
                 }
             }
-            ReplyEvent.Finish end = ends.get(0);
+            ReplyEvent.ChoiceFinished end = ends.get(0);
             body.put("stop_reason", reason(end.reason())).put("stop_sequence", end.sequence());
             body.set("usage", tokens());
             return body;
--- a/src/main/java/dunlinladder/apiformat/ReplyTranslator.java
+++ b/src/main/java/dunlinladder/apiformat/ReplyTranslator.java
@@ -4,91 +4,103 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * One answer on its way from an engine's format to a client's: bytes of events in, text for the client out. Whole
- * answers are gathered and given at the end.
+ * Translates one reply from an engine's format into a client's: chunks of the engine's stream in, text for the client
+ * out. For a client that does not stream, the events are gathered and {@link #completeReply()} gives the body at the
+ * end.
+ *
+ * <p>Not thread-safe: one exchange calls it, one call at a time.
  */
 public final class ReplyTranslator {
 
-    private final ReplyDecoder reader;
-    private final ReplyEncoder writer;
-    private final boolean stream;
-    private final ServerSentEventReader cutter = new ServerSentEventReader(this::event);
+    private final ReplyDecoder decoder;
+    private final ReplyEncoder encoder;
+    private final boolean streaming;
+    private final ServerSentEventReader eventReader = new ServerSentEventReader(this::decode);
     private final List<ReplyEvent> gathered = new ArrayList<>();
-    private Consumer<String> out = text -> {};
-    private ApiError fault;
-    private boolean whole;
+    private Consumer<String> output = text -> {};
+    private Optional<ApiError> error = Optional.empty();
+    private boolean complete;
 
-    /** Creates the translation of one answer; {@code stream} tells whether the client wants events. */
-    public ReplyTranslator(ApiFormat from, ApiFormat to, ReplyEncoder.Identity identity, boolean stream) {
-        this.reader = ReplyDecoder.of(from);
-        this.writer = ReplyEncoder.of(to, identity);
-        this.stream = stream;
+    /**
+     * Creates the translator of one reply.
+     *
+     * @param from the engine's format
+     * @param to the client's format
+     * @param identity what the client is to see of the reply's id, model and time
+     * @param streaming whether the client asked for events rather than one body
+     */
+    public ReplyTranslator(ApiFormat from, ApiFormat to, ReplyEncoder.Identity identity, boolean streaming) {
+        this.decoder = ReplyDecoder.of(from);
+        this.encoder = ReplyEncoder.of(to, identity);
+        this.streaming = streaming;
     }
 
-    /** Takes a piece of an engine's stream; {@code to} gets what it turns into, in order. */
-    public void stream(ByteBuffer piece, Consumer<String> to) {
-        out = to;
-        cutter.read(piece);
+    /** Translates a chunk of the engine's stream, cut anywhere; {@code client} receives the text, in order. */
+    public void translateChunk(ByteBuffer chunk, Consumer<String> client) {
+        output = client;
+        eventReader.read(chunk);
     }
 
-    /** Takes an engine's whole answer. */
-    public void body(byte[] content, Consumer<String> to) {
-        out = to;
-        reader.whole(content).forEach(this::event);
+    /**
+     * The engine's stream ended in order. Without its format's closing event the reply has failed all the same, and
+     * {@code client} receives the error.
+     */
+    public void endOfStream(Consumer<String> client) {
+        output = client;
+        decoder.endOfStream().forEach(this::translate);
     }
 
-    /** The engine's stream ended in order; without its closing event the answer has failed all the same. */
-    public void end(Consumer<String> to) {
-        out = to;
-        reader.end().forEach(this::event);
+    /** Reports to a client that has received a part of the reply that it broke off. */
+    public void fail(ApiError reason, Consumer<String> client) {
+        output = client;
+        translate(new ReplyEvent.Failed(reason));
     }
 
-    /** Tells the client that the answer broke off; only where something was given to it. */
-    public void fail(ApiError why, Consumer<String> to) {
-        out = to;
-        event(new ReplyEvent.Failed(why));
+    private void decode(String name, String data) {
+        decoder.decodeEvent(name, data).forEach(this::translate);
     }
 
-    private void event(String name, String data) {
-        reader.event(name, data).forEach(this::event);
-    }
-
-    private void event(ReplyEvent event) {
-        if (fault != null || whole) {
+    private void translate(ReplyEvent event) {
+        if (error.isPresent() || complete) {
             return;
         }
         if (event instanceof ReplyEvent.Failed failed) {
-            fault = failed.fault();
+            error = Optional.of(failed.error());
         }
-        whole = event instanceof ReplyEvent.End;
-        if (!stream) {
+        complete = event instanceof ReplyEvent.Completed;
+        if (!streaming) {
             gathered.add(event);
-        } else {
-            String text = writer.stream(event);
-            if (!text.isEmpty()) {
-                out.accept(text);
-            }
+            return;
+        }
+        String text = encoder.encode(event);
+        if (!text.isEmpty()) {
+            output.accept(text);
         }
     }
 
-    /** Whether the answer came to its end. */
-    public boolean whole() {
-        return whole;
+    /** Whether the reply came to its closing event. */
+    public boolean isComplete() {
+        return complete;
     }
 
-    /** Why the answer failed; null where it did not. */
-    public ApiError fault() {
-        return fault;
+    /** Why the reply failed, if it did. */
+    public Optional<ApiError> error() {
+        return error;
     }
 
-    /** The whole answer in the client's format, once it is whole. */
-    public JsonNode answer() {
-        if (!whole) {
-            throw new IllegalStateException("the answer is not whole");
+    /**
+     * The body of the complete reply in the client's format, for a client that does not stream.
+     *
+     * @throws IncompleteReplyException where {@link #isComplete()} is false
+     */
+    public JsonNode completeReply() {
+        if (!complete) {
+            throw new IncompleteReplyException("the reply is not complete");
         }
-        return writer.whole(gathered);
+        return encoder.encodeComplete(gathered);
     }
 }
--- a/src/main/java/dunlinladder/apiformat/ServerSentEventReader.java
+++ b/src/main/java/dunlinladder/apiformat/ServerSentEventReader.java
@@ -6,59 +6,76 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads a stream of server-sent events as its bytes come, in pieces of any size. Gives each event's name, null where it
- * has none, and its data; comments and other fields are passed over, and an event that the stream's end cuts off is
- * none.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) as its bytes arrive, in chunks cut anywhere.
+ * Comments and the fields {@code id} and {@code retry} are ignored, and an event that the end of the stream cuts off is
+ * not reported.
+ *
+ * <p>Not thread-safe.
  */
 public final class ServerSentEventReader {
 
+    private static final String DATA = "data";
+    private static final String DATA_FIELD = "data:";
+    private static final String EVENT_FIELD = "event:";
+
     private final BiConsumer<String, String> events;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final StringBuilder data = new StringBuilder();
+    /** Null for an event without a name; kept nullable since each token of a reply passes here. */
     private String name;
+
     private boolean hasData;
-    private boolean afterReturn;
+    private boolean afterCarriageReturn;
 
-    /** Creates a reader that hands each event on. */
+    /**
+     * Creates a reader.
+     *
+     * @param events receives each event's name, null where it has none, and its data
+     */
     public ServerSentEventReader(BiConsumer<String, String> events) {
         this.events = events;
     }
 
-    /** Reads a piece. */
-    public void read(ByteBuffer bytes) {
-        while (bytes.hasRemaining()) {
-            byte b = bytes.get();
-            if (b == '\n' && afterReturn) {
-                afterReturn = false;
-            } else if (b == '\n' || b == '\r') {
-                afterReturn = b == '\r';
+    /** Reads a chunk and reports the events that it completes. */
+    public void read(ByteBuffer chunk) {
+        while (chunk.hasRemaining()) {
+            byte next = chunk.get();
+            if (next == '\n' && afterCarriageReturn) {
+                afterCarriageReturn = false;
+            } else if (next == '\n' || next == '\r') {
+                afterCarriageReturn = next == '\r';
                 endLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
             } else {
-                afterReturn = false;
-                line.write(b);
+                afterCarriageReturn = false;
+                line.write(next);
             }
         }
     }
 
     private void endLine(String text) {
         if (text.isEmpty()) {
-            if (hasData) {
-                events.accept(name, data.toString());
-            }
-            data.setLength(0);
-            name = null;
-            hasData = false;
-        } else if (text.equals("data") || text.startsWith("data:")) {
-            data.append(hasData ? "\n" : "").append(value(text, 5));
+            endEvent();
+        } else if (text.equals(DATA) || text.startsWith(DATA_FIELD)) {
+            data.append(hasData ? "\n" : "").append(value(text, DATA_FIELD));
             hasData = true;
-        } else if (text.startsWith("event:")) {
-            name = value(text, 6);
+        } else if (text.startsWith(EVENT_FIELD)) {
+            name = value(text, EVENT_FIELD);
+        }
+    }
+
+    private void endEvent() {
+        if (hasData) {
+            events.accept(name, data.toString());
         }
+        data.setLength(0);
+        name = null;
+        hasData = false;
     }
 
-    private static String value(String text, int from) {
-        String value = text.length() > from ? text.substring(from) : "";
+    /** What follows the field's name and colon, without the one space that may lead it. */
+    private static String value(String text, String field) {
+        String value = text.length() > field.length() ? text.substring(field.length()) : "";
         return value.startsWith(" ") ? value.substring(1) : value;
     }
 }
--- a/src/main/java/dunlinladder/apiformat/StrictJson.java
+++ b/src/main/java/dunlinladder/apiformat/StrictJson.java
@@ -6,13 +6,14 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** JSON as the formats want it read: bounded in depth, and with nothing behind the value. */
+/** Parses JSON within a bound on its depth, and with nothing after the value. */
 public final class StrictJson {
 
-    /** Deepest nesting that is read; a body nested deeper is malformed. */
+    /** The deepest nesting that is parsed; a body nested deeper is malformed. */
     public static final int DEPTH = 100;
 
     private static final ObjectMapper MAPPER = new ObjectMapper(JsonFactory.builder()
@@ -24,7 +25,11 @@
 
     private StrictJson() {}
 
-    /** A body's object; {@link UntranslatableRequestException} where it is none. */
+    /**
+     * Parses the body of a request or reply, which must be an object.
+     *
+     * @throws UntranslatableRequestException where it is not
+     */
     public static JsonNode body(byte[] content) {
         try {
             JsonNode node = MAPPER.readTree(content);
@@ -37,24 +42,29 @@
         }
     }
 
-    /** Text that must hold an object; {@link UntranslatableRequestException} names the field where it does not. */
+    /**
+     * Parses text that must hold an object; blank text counts as an empty one.
+     *
+     * @param field that holds the text, for the message to the client
+     * @throws UntranslatableRequestException where the text holds no object
+     */
     static ObjectNode object(String text, String field) {
         try {
             if (MAPPER.readTree(text.isBlank() ? "{}" : text) instanceof ObjectNode object) {
                 return object;
             }
         } catch (JsonProcessingException e) {
-            // Said below.
+            // Reported below, like a value of another type.
         }
         throw UntranslatableRequestException.malformed(field, "must be a JSON object as text");
     }
 
-    /** A server's JSON, which may be anything; null where it is none. */
-    static JsonNode lenient(String text) {
+    /** Parses JSON of any type from an engine; a {@link MissingNode} where the text is not JSON. */
+    static JsonNode parse(String text) {
         try {
             return MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            return null;
+            return MissingNode.getInstance();
         }
     }
 }
--- a/src/main/java/dunlinladder/apiformat/UntranslatableRequestException.java
+++ b/src/main/java/dunlinladder/apiformat/UntranslatableRequestException.java
@@ -1,6 +1,6 @@
 package dunlinladder.apiformat;
 
-/** A request that is malformed, or that a format cannot express; names the field. */
+/** A request is malformed, or cannot be expressed in an engine's format; the exception names the field. */
 public final class UntranslatableRequestException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -14,25 +14,25 @@
         this.malformed = malformed;
     }
 
-    /** The field is not what its own format allows. */
+    /** The field is not what the client's own format allows. */
     public static UntranslatableRequestException malformed(String field, String message) {
         return new UntranslatableRequestException(field, field + ": " + message, true);
     }
 
-    /** The field is in order, but the other format has nothing like it. */
-    public static UntranslatableRequestException lacking(String field, ApiFormat to) {
+    /** The field is valid, but the engine's format has nothing that corresponds to it. */
+    public static UntranslatableRequestException unsupported(String field, ApiFormat to) {
         return new UntranslatableRequestException(
                 field,
                 field + " can't be expressed in the format " + to.key() + " that the model's servers speak",
                 false);
     }
 
-    /** The faulty field, as its format calls it. */
+    /** The field at fault, as the client's format calls it. */
     public String field() {
         return field;
     }
 
-    /** Whether the request itself is at fault, and not what it is to be turned into. */
+    /** Whether the request itself is at fault, rather than the format that it is to be translated into. */
     public boolean malformed() {
         return malformed;
     }
--- a/src/main/java/dunlinladder/demo/DemoEngine.java
+++ b/src/main/java/dunlinladder/demo/DemoEngine.java
@@ -69,17 +69,17 @@
     }
 
     private void write(OutputStream out) throws IOException {
-        ReplyEncoder writer = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, null));
+        ReplyEncoder writer = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, ""));
         for (ReplyEvent event : List.of(
-                new ReplyEvent.Begin(name, name, 1),
-                new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
-                new ReplyEvent.Grow(0, 0, "Three copies ", null),
-                new ReplyEvent.Grow(0, 0, "on the second shelf.", null),
-                new ReplyEvent.Close(0, 0),
-                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
+                new ReplyEvent.Started(name, name, 1),
+                new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null),
+                new ReplyEvent.PartDelta(0, 0, "Three copies ", null),
+                new ReplyEvent.PartDelta(0, 0, "on the second shelf.", null),
+                new ReplyEvent.PartFinished(0, 0),
+                new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null),
                 new ReplyEvent.Usage(24, 0, 8, -1),
-                new ReplyEvent.End())) {
-            out.write(writer.stream(event).getBytes(StandardCharsets.UTF_8));
+                new ReplyEvent.Completed())) {
+            out.write(writer.encode(event).getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
     }
--- a/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -168,7 +168,7 @@
                                 .toList(),
                         generations,
                         MigrationConfigReader.move(flat, generations),
-                        RequestTranslator.Unknown.valueOf(
+                        RequestTranslator.UnknownFields.valueOf(
                                 flat.getOrDefault("unknown_fields", "pass").toUpperCase(Locale.ROOT))));
     }
 }
--- a/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
+++ b/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
@@ -1,7 +1,6 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.apiformat.ErrorTranslator;
-import dunlinladder.apiformat.TranslationTable;
+import dunlinladder.apiformat.ReferencePages;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +14,7 @@
     public static void main(String[] args) throws IOException {
         Path docs = Path.of(args[0]);
         Files.createDirectories(docs);
-        Files.writeString(docs.resolve("fields.md"), TranslationTable.markdown());
-        Files.writeString(docs.resolve("errors.md"), ErrorTranslator.markdown());
+        Files.writeString(docs.resolve("fields.md"), ReferencePages.fields());
+        Files.writeString(docs.resolve("errors.md"), ReferencePages.errors());
     }
 }
--- a/src/main/java/dunlinladder/transport/chat/ChatError.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatError.java
@@ -6,6 +6,7 @@
 import dunlinladder.transport.json.JsonObject;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /** An error as the API words it. */
 final class ChatError extends RuntimeException {
@@ -31,7 +32,7 @@
     String json(ApiFormat format) {
         return format == ApiFormat.CHAT
                 ? json()
-                : ErrorTranslator.write(format, new ApiError(kind(), getMessage(), param))
+                : ErrorTranslator.encode(format, new ApiError(kind(), getMessage(), Optional.ofNullable(param)))
                         .toString();
     }
 
--- a/src/main/java/dunlinladder/transport/chat/ChatExchange.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatExchange.java
@@ -37,6 +37,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
@@ -102,19 +103,19 @@
      * while classes are loaded.
      */
     public static void warm(Collection<ApiFormat> engines) {
-        ReplyEncoder.Identity identity = new ReplyEncoder.Identity("0", "warm", 0, true, false, null);
+        ReplyEncoder.Identity identity = new ReplyEncoder.Identity("0", "warm", 0, true, false, "");
         List<ReplyEvent> answer = List.of(
-                new ReplyEvent.Begin("0", "warm", 0),
-                new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
-                new ReplyEvent.Grow(0, 0, "a", null),
-                new ReplyEvent.Close(0, 0),
-                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
+                new ReplyEvent.Started("0", "warm", 0),
+                new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null),
+                new ReplyEvent.PartDelta(0, 0, "a", null),
+                new ReplyEvent.PartFinished(0, 0),
+                new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null),
                 new ReplyEvent.Usage(1, 0, 1, 0),
-                new ReplyEvent.End());
+                new ReplyEvent.Completed());
         for (ApiFormat from : engines) {
             ReplyEncoder writer = ReplyEncoder.of(from, identity);
             StringBuilder events = new StringBuilder();
-            answer.forEach(event -> events.append(writer.stream(event)));
+            answer.forEach(event -> events.append(writer.encode(event)));
             byte[] stream = events.toString().getBytes(StandardCharsets.UTF_8);
             for (ApiFormat to : ApiFormat.values()) {
                 String talk = to == ApiFormat.COMPLETIONS
@@ -122,21 +123,21 @@
                         : to == ApiFormat.RESPONSES
                                 ? "\"input\":\"a\""
                                 : "\"max_tokens\":1,\"messages\":[{\"role\":\"user\"," + "\"content\":\"a\"}]";
-                RequestTranslator.write(
+                RequestTranslator.encode(
                         from,
-                        RequestTranslator.read(
+                        RequestTranslator.decode(
                                 to,
                                 StrictJson.body(("{\"model\":\"warm\"," + talk + "}").getBytes(StandardCharsets.UTF_8)),
-                                RequestTranslator.Unknown.PASS,
+                                RequestTranslator.UnknownFields.PASS,
                                 new ArrayList<>()),
                         1,
                         new ArrayList<>());
                 for (boolean streamed : new boolean[] {true, false}) {
                     ReplyTranslator translation = new ReplyTranslator(from, to, identity, streamed);
-                    translation.stream(ByteBuffer.wrap(stream), text -> {});
-                    translation.end(text -> {});
+                    translation.translateChunk(ByteBuffer.wrap(stream), text -> {});
+                    translation.endOfStream(text -> {});
                     if (!streamed) {
-                        translation.answer();
+                        translation.completeReply();
                     }
                 }
             }
@@ -203,7 +204,7 @@
     /** Reads a request in the client's format. */
     private ChatRequest parsed(byte[] content, int tenant) {
         try {
-            talk = RequestTranslator.read(format, StrictJson.body(content), shared.settings.unknown(), warnings);
+            talk = RequestTranslator.decode(format, StrictJson.body(content), shared.settings.unknown(), warnings);
             if (talk.number(RequestParameter.CHOICES, 1) != 1) {
                 throw ChatError.invalid("only one choice is offered: n must be 1", "n");
             }
@@ -223,12 +224,14 @@
     /** Finds out which formats can express the request; where no engine speaks one, the client is told now. */
     private void fit(Collection<ApiFormat> formats, double now) {
         for (ApiFormat each : formats) {
-            String field = RequestTranslator.lacking(each, talk);
+            String field = RequestTranslator.unsupportedField(each, talk).orElse(null);
             if (field != null) {
                 ask.lacks(each, field);
             }
         }
-        if (formats.size() == 1 && RequestTranslator.lacking(formats.iterator().next(), talk) == null) {
+        if (formats.size() == 1
+                && RequestTranslator.unsupportedField(formats.iterator().next(), talk)
+                        .isEmpty()) {
             try {
                 // What only shows when it is written must still be told at once.
                 render(formats.iterator().next());
@@ -259,13 +262,13 @@
             return new EngineRequest("POST", engines.path(), JSON, request.forward());
         }
         String echo = talk.flag(RequestParameter.ECHO) && engines != ApiFormat.COMPLETIONS
-                ? talk.turns().get(0).text()
-                : null;
+                ? talk.messages().get(0).text()
+                : "";
         translation = new ReplyTranslator(
                 engines,
                 format,
                 new ReplyEncoder.Identity(
-                        id, request.model(), (long) shared.clock.now(), request.usage(), talk.legacy(), echo),
+                        id, request.model(), (long) shared.clock.now(), request.usage(), talk.legacyTools(), echo),
                 request.stream());
         return new EngineRequest("POST", engines.path(), JSON, render(engines));
     }
@@ -275,7 +278,7 @@
         if (rendered != engines) {
             List<String> left = new ArrayList<>();
             ObjectNode body =
-                    RequestTranslator.write(engines, talk, request.kind().mostTokens(), left);
+                    RequestTranslator.encode(engines, talk, request.kind().mostTokens(), left);
             left.stream().filter(line -> !warnings.contains(line)).forEach(warnings::add);
             // Engines only stream, and the usage is wanted for the answer's end whatever the client asks.
             body.put("stream", true);
@@ -296,7 +299,7 @@
         } else if (outcome.ending() == Outcome.Ending.FULL && outcome.note() == 1) {
             ask.readBy(null);
         }
-        if (outcome.ending() == Outcome.Ending.ERROR && ErrorTranslator.knowsNot(status, null)) {
+        if (outcome.ending() == Outcome.Ending.ERROR && ErrorTranslator.isFormatUnsupported(status)) {
             shared.routing.knowsNot(engine, now);
             return;
         }
@@ -313,7 +316,7 @@
 
     @Override
     public boolean rejects(int status, String body) {
-        rejection = ErrorTranslator.rejection(status, body);
+        rejection = ErrorTranslator.requestError(status, body).orElse(null);
         return rejection != null;
     }
 
@@ -374,7 +377,7 @@
         if (translation == null) {
             events.read(piece);
         } else {
-            translation.stream(piece, this::translated);
+            translation.translateChunk(piece, this::translated);
         }
         if (out.length() == 0) {
             taken.accept(size);
@@ -483,13 +486,13 @@
     @Override
     public void complete() {
         if (translation != null) {
-            translation.end(this::translated);
-            if (!translation.whole()) {
+            translation.endOfStream(this::translated);
+            if (!translation.isComplete()) {
                 broken();
             } else if (request.stream()) {
                 close();
             } else {
-                answer(200, JSON, translation.answer().toString(), headers(Map.of()));
+                answer(200, JSON, translation.completeReply().toString(), headers(Map.of()));
             }
         } else if (!done || failed) {
             broken();
@@ -516,7 +519,8 @@
     private void broken() {
         ChatError error = new ChatError(502, "the answer broke off", null, "upstream_error");
         if (open && translation != null) {
-            translation.fail(new ApiError(ApiError.Kind.SERVER, error.getMessage(), null), this::translated);
+            translation.fail(
+                    new ApiError(ApiError.Kind.SERVER, error.getMessage(), Optional.empty()), this::translated);
             close();
         } else if (open) {
             close(error.json());
@@ -539,7 +543,7 @@
             answer(
                     ErrorTranslator.status(format, rejection.kind()),
                     JSON,
-                    ErrorTranslator.write(format, rejection).toString(),
+                    ErrorTranslator.encode(format, rejection).toString(),
                     headers(Map.of()));
             return;
         }
--- a/src/main/java/dunlinladder/transport/chat/ChatRequest.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatRequest.java
@@ -112,13 +112,13 @@
 
     /** Figures of a request that is translated; its body depends on the engine. */
     static ChatRequest of(Conversation talk, ChatSettings settings, int tenant) {
-        String model = talk.text(RequestParameter.MODEL);
+        String model = talk.text(RequestParameter.MODEL).orElseThrow();
         ChatSettings.Model kind = kind(settings, model);
         StringBuilder opening = new StringBuilder(tenant + "\n" + model);
         String shared = null;
         long characters = 0;
         boolean begun = false;
-        for (Message turn : talk.turns()) {
+        for (Message turn : talk.messages()) {
             String text = turn.text();
             characters += text.length();
             boolean instruction = turn.role() == Message.Role.SYSTEM;
@@ -126,7 +126,7 @@
                 opening.append('\n').append(turn.role()).append('\n').append(text);
                 begun = !instruction;
             }
-            shared = turn == talk.turns().get(0) && instruction ? text : shared;
+            shared = turn == talk.messages().get(0) && instruction ? text : shared;
         }
         return new ChatRequest(
                 model,
--- a/src/main/java/dunlinladder/transport/chat/ChatSettings.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatSettings.java
@@ -24,7 +24,7 @@
         List<Boolean> once,
         List<Generation> engines,
         MigrationPlan move,
-        RequestTranslator.Unknown unknown) {
+        RequestTranslator.UnknownFields unknown) {
 
     /** What a model name stands for; {@code mostTokens} holds where the client sets no bound. */
     public record Model(int serviceClass, int mostTokens) {}
--- a/src/test/java/dunlinladder/apiformat/RepliesTest.java
+++ b/src/test/java/dunlinladder/apiformat/RepliesTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -16,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -28,7 +28,7 @@
 class RepliesTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ReplyEncoder.Identity IDENTITY = new ReplyEncoder.Identity("7", "shelf", 5, true, false, null);
+    private static final ReplyEncoder.Identity IDENTITY = new ReplyEncoder.Identity("7", "shelf", 5, true, false, "");
 
     private static byte[] recorded(String name) throws IOException {
         try (InputStream in = RepliesTest.class.getResourceAsStream("/apiformat/" + name)) {
@@ -47,20 +47,20 @@
         List<String> said = new ArrayList<>();
         List<StringBuilder> parts = new ArrayList<>();
         for (ReplyEvent event : events) {
-            if (event instanceof ReplyEvent.Open open) {
+            if (event instanceof ReplyEvent.PartStarted open) {
                 parts.add(new StringBuilder(
                         open.kind() + " " + (open.callId() == null ? "" : open.callId() + " " + open.name() + " ")));
-            } else if (event instanceof ReplyEvent.Grow grow) {
+            } else if (event instanceof ReplyEvent.PartDelta grow) {
                 parts.get(grow.part()).append(grow.text());
-            } else if (event instanceof ReplyEvent.Close close) {
+            } else if (event instanceof ReplyEvent.PartFinished close) {
                 said.add(parts.get(close.part()).toString());
-            } else if (event instanceof ReplyEvent.Finish finish) {
+            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
                 said.add("finish " + finish.reason());
             } else if (event instanceof ReplyEvent.Usage usage) {
                 said.add("usage " + usage.prompt() + " " + usage.cached() + " " + usage.output());
             } else if (event instanceof ReplyEvent.Failed failed) {
-                said.add("failed " + failed.fault().kind());
-            } else if (event instanceof ReplyEvent.End) {
+                said.add("failed " + failed.error().kind());
+            } else if (event instanceof ReplyEvent.Completed) {
                 said.add("end");
             }
         }
@@ -70,9 +70,9 @@
     private static List<ReplyEvent> read(ApiFormat format, byte[] stream) {
         List<ReplyEvent> events = new ArrayList<>();
         ReplyDecoder reader = ReplyDecoder.of(format);
-        new ServerSentEventReader((name, data) -> events.addAll(reader.event(name, data)))
+        new ServerSentEventReader((name, data) -> events.addAll(reader.decodeEvent(name, data)))
                 .read(ByteBuffer.wrap(stream));
-        events.addAll(reader.end());
+        events.addAll(reader.endOfStream());
         return events;
     }
 
@@ -80,9 +80,9 @@
         ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
         StringBuilder out = new StringBuilder();
         for (int at = 0; at < stream.length; at += step) {
-            translation.stream(ByteBuffer.wrap(stream, at, Math.min(step, stream.length - at)), out::append);
+            translation.translateChunk(ByteBuffer.wrap(stream, at, Math.min(step, stream.length - at)), out::append);
         }
-        translation.end(out::append);
+        translation.endOfStream(out::append);
         return out.toString();
     }
 
@@ -134,11 +134,11 @@
     @MethodSource("pairs")
     void aWholeAnswerSaysWhatTheStreamSaid(ApiFormat from, ApiFormat to) throws IOException {
         ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, false);
-        translation.stream(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> {});
-        translation.end(text -> {});
-        assertTrue(translation.whole());
-        byte[] body = translation.answer().toString().getBytes(StandardCharsets.UTF_8);
-        assertEquals(TEXT, said(ReplyDecoder.of(to).whole(body)));
+        translation.translateChunk(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> {});
+        translation.endOfStream(text -> {});
+        assertTrue(translation.isComplete());
+        byte[] body = translation.completeReply().toString().getBytes(StandardCharsets.UTF_8);
+        assertEquals(TEXT, said(ReplyDecoder.of(to).decodeComplete(body)));
     }
 
     /** A stream that ends after any of its events but the last has failed, and its client is told so. */
@@ -155,10 +155,11 @@
             byte[] part = String.join("", Arrays.copyOf(events, kept)).getBytes(StandardCharsets.UTF_8);
             ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
             StringBuilder out = new StringBuilder();
-            translation.stream(ByteBuffer.wrap(part), out::append);
-            assertFalse(translation.whole(), "after " + kept);
-            translation.end(out::append);
-            assertEquals(ApiError.Kind.GARBLED, translation.fault().kind());
+            translation.translateChunk(ByteBuffer.wrap(part), out::append);
+            assertFalse(translation.isComplete(), "after " + kept);
+            translation.endOfStream(out::append);
+            assertEquals(
+                    ApiError.Kind.GARBLED, translation.error().orElseThrow().kind());
             List<String> said = said(read(to, out.toString().getBytes(StandardCharsets.UTF_8)));
             assertTrue(said.get(said.size() - 1).startsWith("failed "), said.toString());
         }
@@ -198,12 +199,12 @@
                 "COMPLETIONS | {'choices':[{'index':0,'text':'a','finish_reason':'length'}]} | LENGTH"
             })
     void eachEndHasItsRow(ApiFormat from, String event, Reason reason) {
-        List<ReplyEvent> events = ReplyDecoder.of(from).event(null, event.replace('\'', '"'));
+        List<ReplyEvent> events = ReplyDecoder.of(from).decodeEvent(null, event.replace('\'', '"'));
         assertEquals(
                 reason,
                 events.stream()
-                        .filter(e -> e instanceof ReplyEvent.Finish)
-                        .map(e -> ((ReplyEvent.Finish) e).reason())
+                        .filter(e -> e instanceof ReplyEvent.ChoiceFinished)
+                        .map(e -> ((ReplyEvent.ChoiceFinished) e).reason())
                         .findFirst()
                         .orElseThrow());
     }
@@ -223,10 +224,10 @@
             })
     void eachErrorHasItsRow(int status, String body, ApiError.Kind kind, boolean mine) throws IOException {
         JsonNode node = JSON.readTree(body.replace('\'', '"'));
-        assertEquals(kind, ErrorTranslator.read(status, node).kind());
-        assertEquals(mine, ErrorTranslator.ofTheRequest(status, node));
+        assertEquals(kind, ErrorTranslator.decode(status, node).kind());
+        assertEquals(mine, ErrorTranslator.isRequestError(status, node));
         for (ApiFormat to : ApiFormat.values()) {
-            JsonNode told = ErrorTranslator.write(to, ErrorTranslator.read(status, node));
+            JsonNode told = ErrorTranslator.encode(to, ErrorTranslator.decode(status, node));
             assertFalse(told.toString().contains("your key"));
             assertTrue(told.path("error").path("message").isTextual());
         }
@@ -237,9 +238,9 @@
         assertEquals(ErrorTranslator.Verdict.REFUSED, ErrorTranslator.verdict(true, false));
         assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(true, true));
         assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(false, false));
-        assertTrue(ErrorTranslator.knowsNot(404, null));
-        assertTrue(ErrorTranslator.knowsNot(415, null));
-        assertFalse(ErrorTranslator.knowsNot(500, null));
+        assertTrue(ErrorTranslator.isFormatUnsupported(404));
+        assertTrue(ErrorTranslator.isFormatUnsupported(415));
+        assertFalse(ErrorTranslator.isFormatUnsupported(500));
     }
 
     /** The client sees one id, model and time through the stream, whatever the engine calls itself. */
@@ -255,25 +256,25 @@
     void logprobsEchoAndOlderCallsKeepTheirForm() throws IOException {
         ReplyEncoder.Identity old = new ReplyEncoder.Identity("7", "shelf", 5, false, true, "once ");
         ReplyTranslator text = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.COMPLETIONS, old, false);
-        text.stream(
+        text.translateChunk(
                 ByteBuffer.wrap(("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"up\"},"
                                 + "\"logprobs\":{\"content\":[{\"token\":\"up\",\"logprob\":-1.5,"
                                 + "\"top_logprobs\":[{\"token\":\"on\",\"logprob\":-2.0}]}]},"
                                 + "\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
                         .getBytes(StandardCharsets.UTF_8)),
                 t -> {});
-        JsonNode choice = text.answer().path("choices").path(0);
+        JsonNode choice = text.completeReply().path("choices").path(0);
         assertEquals("once up", choice.path("text").asText());
         assertEquals(
                 "{\"tokens\":[\"up\"],\"token_logprobs\":[-1.5],\"top_logprobs\":[{\"on\":-2.0}]}",
                 choice.path("logprobs").toString());
         ReplyTranslator call = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.CHAT, old, false);
-        call.stream(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> {});
-        JsonNode message = call.answer().path("choices").path(0);
+        call.translateChunk(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> {});
+        JsonNode message = call.completeReply().path("choices").path(0);
         assertEquals("function_call", message.path("finish_reason").asText());
         assertEquals(
                 "find",
                 message.path("message").path("function_call").path("name").asText());
-        assertNull(call.fault());
+        assertEquals(Optional.empty(), call.error());
     }
 }
--- a/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
+++ b/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
@@ -29,10 +29,10 @@
         return StrictJson.body(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    private JsonNode translate(String from, String to, String body, RequestTranslator.Unknown unknown) {
-        return StrictJson.body(RequestTranslator.write(
+    private JsonNode translate(String from, String to, String body, RequestTranslator.UnknownFields unknown) {
+        return StrictJson.body(RequestTranslator.encode(
                         ApiFormat.of(to).orElseThrow(),
-                        RequestTranslator.read(ApiFormat.of(from).orElseThrow(), json(body), unknown, warnings),
+                        RequestTranslator.decode(ApiFormat.of(from).orElseThrow(), json(body), unknown, warnings),
                         800,
                         warnings)
                 .toString()
@@ -48,7 +48,7 @@
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
     void aRequestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
-        assertEquals(json(expected), translate(from, to, body, RequestTranslator.Unknown.PASS));
+        assertEquals(json(expected), translate(from, to, body, RequestTranslator.UnknownFields.PASS));
     }
 
     @ParameterizedTest
@@ -61,7 +61,7 @@
     void whatCannotBeExpressedIsRefusedByName(String from, String to, String body, String field) {
         UntranslatableRequestException error = assertThrows(
                 UntranslatableRequestException.class,
-                () -> translate(from, to, body, RequestTranslator.Unknown.REFUSE));
+                () -> translate(from, to, body, RequestTranslator.UnknownFields.REFUSE));
         assertEquals(field, error.field());
         assertTrue(error.getMessage().contains(field), error.getMessage());
     }
@@ -82,14 +82,14 @@
                         + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"
             })
     void whatIsLeftOutIsSaid(String from, String to, String body, String field) {
-        translate(from, to, body, RequestTranslator.Unknown.REFUSE);
+        translate(from, to, body, RequestTranslator.UnknownFields.REFUSE);
         assertEquals(1, warnings.size(), warnings.toString());
         assertTrue(warnings.get(0).startsWith(field), warnings.get(0));
     }
 
     @ParameterizedTest
     @CsvSource({"PASS, true, 0", "DROP, false, 1"})
-    void fieldsThatNoTableKnowsFollowTheOperator(RequestTranslator.Unknown unknown, boolean there, int warned) {
+    void fieldsThatNoTableKnowsFollowTheOperator(RequestTranslator.UnknownFields unknown, boolean there, int warned) {
         JsonNode body = translate(
                 "chat",
                 "responses",
@@ -105,7 +105,7 @@
     void everyFieldOfAFormatComesBackAsItWas(ApiFormat format) throws IOException {
         JsonNode body = JSON.readTree(
                 RequestTranslatorTest.class.getResourceAsStream("/apiformat/full-" + format.key() + ".json"));
-        for (FieldTable.Field field : FieldTable.of(format)) {
+        for (FieldTable.Field field : FieldTable.of(format).fields()) {
             assertTrue(
                     field.alias()
                             || !body.at("/" + field.path().replace('.', '/')).isMissingNode(),
@@ -113,9 +113,9 @@
         }
         assertEquals(
                 body,
-                RequestTranslator.write(
+                RequestTranslator.encode(
                         format,
-                        RequestTranslator.read(format, body, RequestTranslator.Unknown.REFUSE, warnings),
+                        RequestTranslator.decode(format, body, RequestTranslator.UnknownFields.REFUSE, warnings),
                         800,
                         warnings));
         assertEquals(List.of(), warnings);
@@ -133,7 +133,7 @@
     /** The pages of the docs are what the tables print; {@code make docs} writes them. */
     @Test
     void theDocsShowTheTables() throws IOException {
-        assertEquals(Files.readString(Path.of("docs/fields.md")), TranslationTable.markdown());
-        assertEquals(Files.readString(Path.of("docs/errors.md")), ErrorTranslator.markdown());
+        assertEquals(Files.readString(Path.of("docs/fields.md")), ReferencePages.fields());
+        assertEquals(Files.readString(Path.of("docs/errors.md")), ReferencePages.errors());
     }
 }
--- a/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
+++ b/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
@@ -22,7 +22,7 @@
             List.of(),
             List.of(),
             null,
-            RequestTranslator.Unknown.PASS);
+            RequestTranslator.UnknownFields.PASS);
     private static final String SYSTEM = "{'role':'system','content':'12345678'}";
     private static final String USER = "{'role':'user','content':'abcde'}";
     private static final String LATER = ",{'role':'assistant','content':'yes'},{'role':'user','content':'" + "more'}";
