--- /dev/null
+++ b/src/main/java/dunlinladder/apiformat/CompletionsMessageCodec.java
@@ -0,0 +1,53 @@
+package dunlinladder.apiformat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import dunlinladder.apiformat.Message.Role;
+import java.util.List;
+
+/** The messages of the legacy completions format: one prompt, without roles. */
+final class CompletionsMessageCodec extends MessageCodec {
+
+    static final MessageCodec INSTANCE = new CompletionsMessageCodec();
+
+    private CompletionsMessageCodec() {}
+
+    @Override
+    List<Message> decode(JsonNode body) {
+        JsonNode prompt = body.path("prompt");
+        JsonNode single = prompt.isArray() && prompt.size() == 1 ? prompt.get(0) : prompt;
+        if (!single.isTextual()) {
+            throw UntranslatableRequestException.malformed(
+                    "prompt",
+                    "must be a string, or a list with one: prompts are neither taken in batches nor as tokens");
+        }
+        return List.of(new Message(Role.USER, List.of(new ContentPart.Text(single.asText())), null));
+    }
+
+    @Override
+    void encode(List<Message> messages, ObjectNode body, List<String> warnings) {
+        body.put("prompt", prompt(messages, warnings));
+    }
+
+    /** A single message is the prompt itself; several are told apart by their speakers. */
+    private static String prompt(List<Message> messages, List<String> warnings) {
+        if (messages.size() == 1) {
+            return messages.get(0).text();
+        }
+        warnings.add("the messages were joined into one prompt");
+        StringBuilder prompt = new StringBuilder();
+        for (Message message : messages) {
+            prompt.append(speaker(message.role())).append(message.text()).append("\n\n");
+        }
+        return prompt.append("Assistant:").toString();
+    }
+
+    private static String speaker(Role role) {
+        return switch (role) {
+            case SYSTEM -> "";
+            case USER -> "User: ";
+            case ASSISTANT -> "Assistant: ";
+            case TOOL -> "Tool: ";
+        };
+    }
+}
--- a/src/main/java/dunlinladder/apiformat/RequestDecoder.java
+++ b/src/main/java/dunlinladder/apiformat/RequestDecoder.java
@@ -48,7 +48,7 @@
         checkRequired();
         applyToUnknown(unknownFields, warnings);
         boolean legacyTools = body.has("functions") && !body.has("tools");
-        return new Conversation(from, parameters, MessageCodec.decode(from, body), unknown, legacyTools);
+        return new Conversation(from, parameters, MessageCodec.of(from).decode(body), unknown, legacyTools);
     }
 
     private void decodeField(String name, JsonNode value) {
