--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -13,6 +13,7 @@
 import dunlinladder.routing.BlockingRequestRouter;
 import dunlinladder.routing.Router;
 import dunlinladder.transport.chat.ChatExchange;
+import dunlinladder.transport.chat.TranslationWarmup;
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.discovery.EndpointWatcher;
 import dunlinladder.transport.engine.EngineClient;
@@ -180,7 +181,7 @@
         int port = server.listen(config.listen());
         LOG.info("{} listens on {} port {}", config.name(), config.listen(), port);
         if (chat != null) {
-            ChatExchange.warm(operator.settings().engines().stream()
+            TranslationWarmup.run(operator.settings().engines().stream()
                     .map(Generation::format)
                     .distinct()
                     .toList());
--- a/src/main/java/dunlinladder/transport/chat/ChatError.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatError.java
@@ -3,71 +3,161 @@
 import dunlinladder.apiformat.ApiError;
 import dunlinladder.apiformat.ApiFormat;
 import dunlinladder.apiformat.ErrorTranslator;
+import dunlinladder.apiformat.UntranslatableRequestException;
 import dunlinladder.transport.json.JsonObject;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.apache.hc.core5.http.HttpStatus;
 
-/** An error as the API words it. */
+/** An error that a client is answered with, worded as the chat completions API words it, and in the other formats. */
 final class ChatError extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
+    private static final String INVALID_VALUE = "invalid_value";
+    private static final String UNSUPPORTED_PARAMETER = "unsupported_parameter";
+    private static final String UPSTREAM_ERROR = "upstream_error";
+
+    /** The HTTP status in the chat completions format. */
     final int status;
-    private final String param;
+
+    private final transient Optional<String> param;
     private final String code;
 
-    ChatError(int status, String message, String param, String code) {
+    private ChatError(int status, String message, Optional<String> param, String code) {
         super(message);
         this.status = status;
         this.param = param;
         this.code = code;
     }
 
+    private ChatError(int status, String message, String code) {
+        this(status, message, Optional.empty(), code);
+    }
+
+    // ---- The request is at fault ----
+
+    /** A field has a value that is not allowed. */
     static ChatError invalid(String message, String param) {
-        return new ChatError(400, message, param, "invalid_value");
+        return new ChatError(HttpStatus.SC_BAD_REQUEST, message, Optional.of(param), INVALID_VALUE);
     }
 
-    /** The error object in a client's format. */
-    String json(ApiFormat format) {
-        return format == ApiFormat.CHAT
-                ? json()
-                : ErrorTranslator.encode(format, new ApiError(kind(), getMessage(), Optional.ofNullable(param)))
-                        .toString();
+    /** The body is not what it has to be; the message says how. */
+    static ChatError invalid(String message) {
+        return new ChatError(HttpStatus.SC_BAD_REQUEST, message, INVALID_VALUE);
+    }
+
+    /** A field is malformed, or has no counterpart in the engines' format. */
+    static ChatError untranslatable(UntranslatableRequestException cause) {
+        String code = cause.malformed() ? INVALID_VALUE : UNSUPPORTED_PARAMETER;
+        return new ChatError(HttpStatus.SC_BAD_REQUEST, cause.getMessage(), Optional.ofNullable(cause.field()), code);
+    }
+
+    /** No format that any engine speaks has the field. */
+    static ChatError inexpressible(String field) {
+        return new ChatError(
+                HttpStatus.SC_BAD_REQUEST,
+                field + " can't be expressed in any format that the model's servers speak",
+                Optional.of(field),
+                UNSUPPORTED_PARAMETER);
+    }
+
+    static ChatError unauthenticated() {
+        return new ChatError(HttpStatus.SC_UNAUTHORIZED, "no valid API key was given", "invalid_api_key");
+    }
+
+    static ChatError unknownPath(String path) {
+        return new ChatError(HttpStatus.SC_NOT_FOUND, "unknown path " + path, "not_found");
+    }
+
+    static ChatError unknownModel(String model) {
+        return new ChatError(
+                HttpStatus.SC_NOT_FOUND,
+                "The model '" + model + "' does not exist",
+                Optional.of("model"),
+                "model_not_found");
     }
 
+    static ChatError methodNotAllowed(String allowed) {
+        return new ChatError(HttpStatus.SC_METHOD_NOT_ALLOWED, "use " + allowed, "method_not_allowed");
+    }
+
+    static ChatError bodyTooLong(int maxBytes) {
+        return new ChatError(
+                HttpStatus.SC_REQUEST_TOO_LONG, "the body is over " + maxBytes + " bytes", "request_too_large");
+    }
+
+    // ---- The request was not served ----
+
+    static ChatError overloaded() {
+        return new ChatError(
+                HttpStatus.SC_TOO_MANY_REQUESTS, "no capacity now; trying again is harmless", "overloaded");
+    }
+
+    static ChatError timeout() {
+        return new ChatError(HttpStatus.SC_GATEWAY_TIMEOUT, "no answer in time", "timeout");
+    }
+
+    static ChatError engineFailed() {
+        return new ChatError(HttpStatus.SC_BAD_GATEWAY, "the model server failed", UPSTREAM_ERROR);
+    }
+
+    static ChatError replyBroken() {
+        return new ChatError(HttpStatus.SC_BAD_GATEWAY, "the answer broke off", UPSTREAM_ERROR);
+    }
+
+    static ChatError internal() {
+        return new ChatError(HttpStatus.SC_INTERNAL_SERVER_ERROR, "the gateway failed", "internal_error");
+    }
+
+    // ---- In a client's format ----
+
     /** The status in a client's format. */
     int status(ApiFormat format) {
         return format == ApiFormat.CHAT ? status : ErrorTranslator.status(format, kind());
     }
 
-    ApiError.Kind kind() {
-        return switch (status) {
-            case 400 -> "unsupported_parameter".equals(code) ? ApiError.Kind.UNTRANSLATABLE : ApiError.Kind.INVALID;
-            case 401 -> ApiError.Kind.AUTHENTICATION;
-            case 404 -> ApiError.Kind.NOT_FOUND;
-            case 405 -> ApiError.Kind.METHOD;
-            case 413 -> ApiError.Kind.TOO_LARGE;
-            case 429 -> ApiError.Kind.OVERLOADED;
-            case 502 -> ApiError.Kind.SERVER;
-            case 504 -> ApiError.Kind.TIMEOUT;
-            default -> ApiError.Kind.INTERNAL;
-        };
+    /** The error object in a client's format. */
+    String json(ApiFormat format) {
+        return format == ApiFormat.CHAT
+                ? json()
+                : ErrorTranslator.encode(format, new ApiError(kind(), getMessage(), param))
+                        .toString();
     }
 
-    /** The error object. */
+    /** The error object in the chat completions format. */
     String json() {
         Map<String, Object> error = new LinkedHashMap<>();
         error.put("message", getMessage());
-        error.put(
-                "type",
-                status == 429
-                        ? "rate_limit_error"
-                        : status >= 500
-                                ? "server_error"
-                                : status == 401 ? "authentication_error" : "invalid_request_error");
-        error.put("param", param);
+        error.put("type", type());
+        error.put("param", param.orElse(null));
         error.put("code", code);
         return JsonObject.write(Map.of("error", error));
     }
+
+    private String type() {
+        if (status == HttpStatus.SC_TOO_MANY_REQUESTS) {
+            return "rate_limit_error";
+        }
+        if (status >= HttpStatus.SC_SERVER_ERROR) {
+            return "server_error";
+        }
+        return status == HttpStatus.SC_UNAUTHORIZED ? "authentication_error" : "invalid_request_error";
+    }
+
+    private ApiError.Kind kind() {
+        return switch (status) {
+            case HttpStatus.SC_BAD_REQUEST ->
+                code.equals(UNSUPPORTED_PARAMETER) ? ApiError.Kind.UNTRANSLATABLE : ApiError.Kind.INVALID;
+            case HttpStatus.SC_UNAUTHORIZED -> ApiError.Kind.AUTHENTICATION;
+            case HttpStatus.SC_NOT_FOUND -> ApiError.Kind.NOT_FOUND;
+            case HttpStatus.SC_METHOD_NOT_ALLOWED -> ApiError.Kind.METHOD;
+            case HttpStatus.SC_REQUEST_TOO_LONG -> ApiError.Kind.TOO_LARGE;
+            case HttpStatus.SC_TOO_MANY_REQUESTS -> ApiError.Kind.OVERLOADED;
+            case HttpStatus.SC_BAD_GATEWAY -> ApiError.Kind.SERVER;
+            case HttpStatus.SC_GATEWAY_TIMEOUT -> ApiError.Kind.TIMEOUT;
+            default -> ApiError.Kind.INTERNAL;
+        };
+    }
 }
--- a/src/main/java/dunlinladder/transport/chat/ChatSettings.java
+++ b/src/main/java/dunlinladder/transport/chat/ChatSettings.java
@@ -9,10 +9,10 @@
 /**
  * The chat front as its operator set it up; names are already turned into the settings' numbers.
  *
- * @param tenants API key to tenant
+ * @param tenants API key to the number of its tenant
  * @param models model name to its class
  * @param deadlines seconds until a first token is no longer waited for, by class
- * @param once by class, whether a request must never run twice
+ * @param nonIdempotent by class, whether a request must never run twice
  * @param engines which engines speak which format, in the order in which they are asked
  * @param move how the fleet moves between two of them, null where it does not
  * @param unknown what becomes of fields that no format's table has
@@ -21,11 +21,11 @@
         Map<String, Integer> tenants,
         Map<String, Model> models,
         List<Double> deadlines,
-        List<Boolean> once,
+        List<Boolean> nonIdempotent,
         List<Generation> engines,
         MigrationPlan move,
         RequestTranslator.UnknownFields unknown) {
 
-    /** What a model name stands for; {@code mostTokens} holds where the client sets no bound. */
-    public record Model(int serviceClass, int mostTokens) {}
+    /** What a model name stands for; {@code defaultMaxTokens} holds where the client sets no bound. */
+    public record Model(int serviceClass, int defaultMaxTokens) {}
 }
--- a/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
+++ b/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
@@ -61,27 +61,33 @@
     @Test
     void lengthsAreFourCharactersEach() {
         ChatRequest request = messages(SYSTEM + "," + USER);
-        assertEquals(4, request.promptTokens());
-        assertEquals(2, request.prefixTokens());
-        assertEquals(800, request.maxOut());
-        assertEquals(0, messages(USER).prefix());
+        assertEquals(4, request.prompt().tokens());
+        assertEquals(2, request.prompt().prefixTokens());
+        assertEquals(800, request.prompt().maxOutputTokens());
+        assertEquals(0, messages(USER).prompt().prefix());
         assertEquals(
                 2,
                 messages("{'role':'user','content':[{'type':'text','text':'abcde'}]}")
-                        .promptTokens());
+                        .prompt()
+                        .tokens());
         assertEquals(
                 7,
                 read("{'model':'m','max_completion_tokens':7,'messages':[" + USER + "]}")
-                        .maxOut());
+                        .prompt()
+                        .maxOutputTokens());
     }
 
     @Test
     void turnsOfAConversationShareItsSession() {
         assertEquals(
-                messages(SYSTEM + "," + USER).session(),
-                messages(SYSTEM + "," + USER + LATER).session());
-        assertNotEquals(messages(SYSTEM + "," + USER).session(), messages(USER).session());
-        assertEquals(messages(SYSTEM).prefix(), messages(SYSTEM + "," + USER).prefix());
+                messages(SYSTEM + "," + USER).prompt().session(),
+                messages(SYSTEM + "," + USER + LATER).prompt().session());
+        assertNotEquals(
+                messages(SYSTEM + "," + USER).prompt().session(),
+                messages(USER).prompt().session());
+        assertEquals(
+                messages(SYSTEM).prompt().prefix(),
+                messages(SYSTEM + "," + USER).prompt().prefix());
     }
 
     @Test
@@ -89,9 +95,9 @@
         String whole = "{'model':'m','temperature':0.5,'messages':[" + USER + "],'stream':";
         assertEquals(
                 (whole + "true}").replace('\'', '"'),
-                new String(read(whole + "false}").forward()));
+                new String(read(whole + "false}").body().orElseThrow()));
         assertEquals(
                 (whole + "true }").replace('\'', '"'),
-                new String(read(whole + "true }").forward()));
+                new String(read(whole + "true }").body().orElseThrow()));
     }
 }
