--- a/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
+++ b/src/main/java/dunlinladder/transport/simulator/SimulatorHost.java
@@ -1,9 +1,13 @@
 package dunlinladder.transport.simulator;
 
 import dunlinladder.routing.Router;
+import dunlinladder.routing.RoutingAction;
+import dunlinladder.routing.RoutingEvent;
 import dunlinladder.routing.RoutingPolicy;
+import dunlinladder.routing.RoutingSettings;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.settings.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -94,7 +98,7 @@
             case "OpenInstance" -> open(instance, body);
             case "Detach" -> instances.remove(instance);
             default -> {
-                Router.Event event = SimulatorCodec.event(message.name, body);
+                RoutingEvent event = SimulatorCodec.event(message.name, body);
                 Router router = instances.get(instance);
                 if (event != null && router != null) {
                     decide(instance, router, now, event);
@@ -105,21 +109,22 @@
 
     private void open(long instance, JsonObject body) {
         long seed = body.integer("salt");
-        Router.Settings settings =
+        RoutingSettings settings =
                 SettingsReader.read(new JsonObject("info", body.child("info").fields()));
         instances.put(instance, new RoutingPolicy(settings, seed));
     }
 
-    private void decide(long instance, Router router, double now, Router.Event event) {
-        List<Router.Action> actions;
+    private void decide(long instance, Router router, double now, RoutingEvent event) {
+        List<RoutingAction> actions;
         try {
             actions = router.handle(now, event);
         } catch (RuntimeException e) {
+            // Whatever fault the policy has is told as BailOut; the other instances go on.
             StackTraceElement[] trace = e.getStackTrace();
             SimulatorCodec.bailOut(reply, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
-        for (Router.Action action : actions) {
+        for (RoutingAction action : actions) {
             SimulatorCodec.action(reply, instance, action);
         }
     }
