--- a/src/main/java/dunlinladder/transport/settings/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/settings/SettingsReader.java
@@ -48,17 +48,17 @@
         JsonObject family = settings.childOrEmpty("family-info");
         List<Role> roles = roles(settings, family);
         int zoneCount = settings.has("zones") ? Math.max(1, zones(settings).size()) : MAX_COUNT;
-        int balancers = settings.whole("balancers", 1, 1, MAX_COUNT);
+        int balancers = settings.intInRange("balancers", 1, 1, MAX_COUNT);
         // This gateway's own number is not used, but a wrong one is a fault of the settings all the same.
-        settings.whole("me", 0, 0, balancers - 1);
+        settings.intInRange("me", 0, 0, balancers - 1);
         return new RoutingSettings(
                 balancers,
-                settings.whole("zone", 0, 0, zoneCount - 1),
+                settings.intInRange("zone", 0, 0, zoneCount - 1),
                 serviceClasses(settings, family),
                 quotas(settings),
                 roles,
                 figures(family, "kv-tokens", roles.size()),
-                caps.whole("max-attempts", 1, 1, MAX_COUNT),
+                caps.intInRange("max-attempts", 1, 1, MAX_COUNT),
                 family.flag("read-in-place"),
                 caps.flag("retry-after"),
                 figure(caps, "max-retry-after", 0),
