--- /dev/null
+++ b/src/main/java/dunlinladder/lifecycle/ConfiguredServiceRules.java
@@ -0,0 +1,24 @@
+package dunlinladder.lifecycle;
+
+import dunlinladder.core.ServiceRules;
+import dunlinladder.routing.RoutingSettings;
+
+/** The core's rules on retries, read from the routing settings, which the core itself does not know. Immutable. */
+final class ConfiguredServiceRules implements ServiceRules {
+
+    private final RoutingSettings settings;
+
+    ConfiguredServiceRules(RoutingSettings settings) {
+        this.settings = settings;
+    }
+
+    @Override
+    public boolean isNonIdempotent(int serviceClass) {
+        return settings.classes().get(serviceClass).effect() == RoutingSettings.Effect.UNSAFE;
+    }
+
+    @Override
+    public boolean isPrefillOnly(int kind) {
+        return kind < settings.roleByKind().size() && settings.roleByKind().get(kind) == RoutingSettings.Role.PREFILL;
+    }
+}
