--- a/src/main/java/dunlinladder/core/Limits.java
+++ b/src/main/java/dunlinladder/core/Limits.java
@@ -152,16 +152,16 @@
     /**
      * Times of this process itself.
      *
-     * @param lagCheckSeconds between two measurements of this process's scheduling lag
-     * @param maxLagSeconds scheduling lag over which new requests wait
+     * @param schedulingLagCheckSeconds between two measurements of this process's scheduling lag
+     * @param maxSchedulingLagSeconds scheduling lag over which new requests wait
      * @param drainSeconds from SIGTERM until no new connection is accepted
      */
-    public record ProcessTimes(double lagCheckSeconds, double maxLagSeconds, double drainSeconds) {
+    public record ProcessTimes(double schedulingLagCheckSeconds, double maxSchedulingLagSeconds, double drainSeconds) {
 
         /** Checks the values. */
         public ProcessTimes {
-            requireNotNegative(lagCheckSeconds, "lagCheckSeconds");
-            requireNotNegative(maxLagSeconds, "maxLagSeconds");
+            requireNotNegative(schedulingLagCheckSeconds, "schedulingLagCheckSeconds");
+            requireNotNegative(maxSchedulingLagSeconds, "maxSchedulingLagSeconds");
             requireNotNegative(drainSeconds, "drainSeconds");
         }
     }
@@ -288,13 +288,13 @@
     }
 
     /** See {@link ProcessTimes}. */
-    public double lagCheckSeconds() {
-        return process.lagCheckSeconds();
+    public double schedulingLagCheckSeconds() {
+        return process.schedulingLagCheckSeconds();
     }
 
     /** See {@link ProcessTimes}. */
-    public double maxLagSeconds() {
-        return process.maxLagSeconds();
+    public double maxSchedulingLagSeconds() {
+        return process.maxSchedulingLagSeconds();
     }
 
     /** See {@link ProcessTimes}. */
--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -73,7 +73,7 @@
         timer.scheduleWithFixedDelay(
                 this::checkSchedulingLag,
                 0,
-                (long) (limits.lagCheckSeconds() * MICROS_PER_SECOND),
+                (long) (limits.schedulingLagCheckSeconds() * MICROS_PER_SECOND),
                 TimeUnit.MICROSECONDS);
         Clock clock = parts.clock();
         parts.eligibility()
--- a/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
+++ b/src/main/java/dunlinladder/lifecycle/GatewayAssembly.java
@@ -126,7 +126,7 @@
                 clock,
                 engineClient::release,
                 lagMonitor::lag,
-                limits.maxLagSeconds());
+                limits.maxSchedulingLagSeconds());
     }
 
     /** Each request is driven by a thread {@code request} of its own from its arrival to its final answer. */
