--- /dev/null
+++ b/src/main/java/dunlinladder/transport/engine/AttemptPhase.java
@@ -0,0 +1,37 @@
+package dunlinladder.transport.engine;
+
+import dunlinladder.core.Outcome.Ending;
+
+/**
+ * How far an attempt has come. What its end proves depends on it (protocol page, "Gateways to engines"): an engine
+ * starts a request when the request's last byte has arrived, so an attempt that ends before that byte was written has
+ * certainly not run, and one that ends after it may have.
+ */
+enum AttemptPhase {
+    /** The last byte of the request is not written. */
+    SENDING(Ending.CONNECT_FAILED, Ending.CONNECT_FAILED),
+
+    /** The request is written, and no event has come back. */
+    SENT(Ending.RESET, Ending.TIMEOUT),
+
+    /** At least one event has come back. */
+    STREAMING(Ending.RESET, Ending.RESET);
+
+    private final Ending endingWhenBroken;
+    private final Ending endingWhenOverdue;
+
+    AttemptPhase(Ending endingWhenBroken, Ending endingWhenOverdue) {
+        this.endingWhenBroken = endingWhenBroken;
+        this.endingWhenOverdue = endingWhenOverdue;
+    }
+
+    /** How an attempt ends whose connection breaks in this phase, or never comes up. */
+    Ending endingWhenBroken() {
+        return endingWhenBroken;
+    }
+
+    /** How an attempt ends that is given up in this phase because the engine is silent for too long. */
+    Ending endingWhenOverdue() {
+        return endingWhenOverdue;
+    }
+}
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -1,25 +1,15 @@
 package dunlinladder.transport.engine;
 
 import dunlinladder.core.Attempt;
-import dunlinladder.core.Clock;
 import dunlinladder.core.EngineTransport;
 import dunlinladder.core.Limits;
 import dunlinladder.core.Outcome;
 import dunlinladder.core.Outcome.Ending;
 import dunlinladder.core.ResponseSink;
 import dunlinladder.core.Seconds;
-import dunlinladder.core.SendGuard;
-import dunlinladder.transport.json.InvalidInputException;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutionException;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
 import org.apache.hc.core5.http.ConnectionClosedException;
 import org.apache.hc.core5.http.ContentType;
 import org.apache.hc.core5.http.EntityDetails;
@@ -34,314 +24,184 @@
 import org.apache.hc.core5.http.nio.RequestChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
-/** One attempt on the wire. */
+/**
+ * One attempt on the wire: writes the request, relays the stream and finds the outcome. Nothing is ever sent twice.
+ *
+ * <p>The request's thread waits in {@link #await} and gives up; any thread may {@link #abandon}; HttpCore's I/O thread
+ * does all else, save that a connection that is free at once is taken by the thread that starts the call. What they
+ * share is guarded by the locks of {@link AttemptProgress}, {@link EngineFlowControl} and {@link EngineExchange}, none
+ * of which is taken within another one here. An attempt that is complete or given up has its outcome before its
+ * connection is let go; one whose connection failed, or that may not start any more, has it just after.
+ */
 final class EngineCall extends EngineExchange implements EngineTransport.Call {
 
-    /** How far it has come; what a break proves depends on it. */
-    private enum Phase {
-        SENDING,
-        SENT,
-        STREAMING
-    }
+    /** The least value of {@code X-Timeout}: a request that is late already is not sent with 0. */
+    private static final double MIN_TIMEOUT_SECONDS = 0.001;
 
+    private final EngineCallContext context;
     private final Attempt attempt;
-    private final EngineRequestFactory outgoing;
-    private final EngineRequest forward;
-    private final double startedAt;
-    private double firstAt = Double.NaN;
-    private final ResponseSink client;
-    private final Runnable first;
-    private final SendGuard gate;
-    private final Clock clock;
-    private final ByteBuffer body;
-    private final Limits limits;
-    private final EventStreamFilter events;
-    private final ByteArrayOutputStream answer = new ByteArrayOutputStream(64);
-    private final CompletableFuture<Outcome> done = new CompletableFuture<>();
-    private Phase phase = Phase.SENDING;
-    private int status;
-    private boolean notRun;
-    private Map<String, Double> report = Map.of();
-    private CapacityChannel capacity;
-    private int credit;
-    private int untaken;
-    private double heardAt;
+    private final EngineRequestFactory requestFactory;
+    private final EngineRequest request;
+    private final ByteBuffer requestBody;
+    private final AttemptProgress progress;
+    private final EngineFlowControl flowControl;
+    private final EngineStreamRelay stream;
+    private final BoundedResponseBody responseBody;
+    /** Written by the I/O thread; another thread that ends the attempt may see it late, as if no response had come. */
+    private EngineResponseHead responseHead = EngineResponseHead.NONE;
 
-    EngineCall(
-            EngineConnectionPool connections,
-            SendGuard gate,
-            Clock clock,
-            Limits limits,
-            Attempt attempt,
-            ResponseSink client,
-            Runnable first) {
-        super(connections);
+    /**
+     * Prepares a call.
+     *
+     * @param client gets the events of the stream
+     * @param firstEventListener runs before the first event is passed on
+     */
+    EngineCall(EngineCallContext context, Attempt attempt, ResponseSink client, Runnable firstEventListener) {
+        super(context.connections());
+        Limits limits = context.limits();
+        this.context = context;
         this.attempt = attempt;
-        this.outgoing = (EngineRequestFactory) attempt.request().payload();
-        this.forward = outgoing.requestFor(attempt.engine());
-        this.startedAt = clock.now();
-        this.client = client;
-        this.first = first;
-        this.gate = gate;
-        this.clock = clock;
-        this.body = ByteBuffer.wrap(forward.body());
-        this.limits = limits;
-        this.events = new EventStreamFilter(limits.eventBytes());
+        this.requestFactory = (EngineRequestFactory) attempt.request().payload();
+        this.request = requestFactory.requestFor(attempt.engine());
+        this.requestBody = ByteBuffer.wrap(request.body());
+        this.progress =
+                new AttemptProgress(context.clock(), attempt.until(), limits.streamSeconds(), this::reportOutcome);
+        this.flowControl = new EngineFlowControl(this::failed);
+        this.stream = new EngineStreamRelay(
+                new EventStreamFilter(limits.eventBytes()), flowControl, progress, client, firstEventListener);
+        this.responseBody = new BoundedResponseBody(limits.responseBytes());
     }
 
     // ---- The core's side ----
 
     @Override
     public Outcome await() throws InterruptedException {
-        while (true) {
-            double left = waitsUntil() - clock.now();
-            try {
-                // The bound moves when the stream begins and with each event: it is looked at now and then.
-                return done.get(
-                        (long) (Math.max(0, Math.min(left, limits.streamSeconds() / 8)) * 1e9), TimeUnit.NANOSECONDS);
-            } catch (TimeoutException e) {
-                giveUpIfDue();
-            } catch (ExecutionException e) {
-                throw new IllegalStateException(e);
-            }
-        }
-    }
-
-    /**
-     * Until its stream begins, as long as the attempt may take. From then on an engine that is silent would hold its
-     * client for good; it is not silent while the client has not taken what came.
-     */
-    private synchronized double waitsUntil() {
-        return phase != Phase.STREAMING
-                ? attempt.until()
-                : (untaken > 0 ? clock.now() : heardAt) + limits.streamSeconds();
-    }
-
-    private void giveUpIfDue() {
-        synchronized (this) {
-            if (clock.now() < waitsUntil()) {
-                return;
+        while (!progress.awaitEnd()) {
+            if (progress.endIfOverdue()) {
+                closeConnection();
             }
-            settle(Outcome.of(
-                    switch (phase) {
-                        case SENDING -> Ending.CONNECT_FAILED;
-                        case SENT -> Ending.TIMEOUT;
-                        case STREAMING -> Ending.RESET;
-                    }));
         }
-        closeConnection();
+        return progress.outcome();
     }
 
     @Override
     public void abandon() {
-        settle(Outcome.of(Ending.CANCELLED));
+        progress.end(Outcome.of(Ending.CANCELLED));
         closeConnection();
     }
 
-    private synchronized void settle(Outcome outcome) {
-        if (!done.isDone()) {
-            outgoing.attemptEnded(attempt.engine(), outcome, status, firstAt - startedAt);
-            done.complete(outcome);
-        }
+    private void reportOutcome(Outcome outcome, double firstTokenSeconds) {
+        requestFactory.attemptEnded(attempt.engine(), outcome, responseHead.status(), firstTokenSeconds);
     }
 
-    // ---- The engine's side ----
+    // ---- The request ----
 
-    /** News that the engine drains also stops what was decided before it and waited for a connection. */
+    /** An update that tells that the engine drains also stops what was decided before and waited for a connection. */
     @Override
     boolean mayStart() {
-        return gate.allows(attempt.engine());
+        return context.sendGuard().allows(attempt.engine());
     }
 
-    /** Only what breaks before the request's last byte is written has certainly not run. */
     @Override
-    synchronized void connectionFailed() {
-        settle(Outcome.of(phase == Phase.SENDING ? Ending.CONNECT_FAILED : Ending.RESET));
+    void connectionFailed() {
+        progress.endBroken();
     }
 
     @Override
-    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
-        if (done.isDone()) {
+    public void produceRequest(RequestChannel channel, HttpContext httpContext) throws HttpException, IOException {
+        if (progress.hasEnded()) {
             throw new ConnectionClosedException("given up before it was sent");
         }
         if (!mayStart()) {
             // The connection was there, yet this thread came to it only now. Its end is our own doing and
-            // says nothing of kept connections.
+            // says nothing of reused connections, so it is let go before HttpCore learns of it.
             closeConnection();
             throw new ConnectionClosedException("the engine drains");
         }
-        BasicHttpRequest request = new BasicHttpRequest(forward.method(), forward.target());
-        request.setAuthority(EngineAddress.authority(attempt.engine()));
-        request.setHeader("X-Request-ID", attempt.request().id());
-        request.setHeader("X-Timeout", Seconds.text(Math.max(0.001, attempt.until() - clock.now())));
-        boolean empty = !body.hasRemaining();
-        if (empty) {
-            sent();
+        BasicHttpRequest head = requestHead();
+        if (!requestBody.hasRemaining()) {
+            progress.requestSent();
+            channel.sendRequest(head, null, httpContext);
+        } else {
+            channel.sendRequest(head, requestEntity(), httpContext);
         }
-        channel.sendRequest(
-                request,
-                empty
-                        ? null
-                        : new BasicEntityDetails(
-                                body.remaining(),
-                                forward.contentType() == null ? null : ContentType.parseLenient(forward.contentType())),
-                context);
+    }
+
+    private BasicHttpRequest requestHead() {
+        BasicHttpRequest head = new BasicHttpRequest(request.method(), request.target());
+        head.setAuthority(EngineAddress.authority(attempt.engine()));
+        head.setHeader("X-Request-ID", attempt.request().id());
+        double left = attempt.until() - context.clock().now();
+        head.setHeader("X-Timeout", Seconds.text(Math.max(MIN_TIMEOUT_SECONDS, left)));
+        return head;
+    }
+
+    private EntityDetails requestEntity() {
+        String contentType = request.contentType();
+        return new BasicEntityDetails(
+                requestBody.remaining(), contentType == null ? null : ContentType.parseLenient(contentType));
     }
 
     @Override
     public int available() {
-        return body.remaining();
+        return requestBody.remaining();
     }
 
     @Override
     public void produce(DataStreamChannel channel) throws IOException {
-        synchronized (this) {
+        if (!progress.beginWrite()) {
             // Given up meanwhile as never sent: its last byte must not go out behind that.
-            if (done.isDone()) {
-                throw new ConnectionClosedException("given up before it was sent");
-            }
-            phase = Phase.SENT;
+            throw new ConnectionClosedException("given up before it was sent");
         }
         try {
-            channel.write(body);
+            channel.write(requestBody);
         } finally {
-            if (body.hasRemaining()) {
-                unsent();
+            if (requestBody.hasRemaining()) {
+                progress.requestIncomplete();
             }
         }
-        if (!body.hasRemaining()) {
+        if (!requestBody.hasRemaining()) {
             channel.endStream();
         }
     }
 
-    private synchronized void unsent() {
-        phase = phase == Phase.SENT ? Phase.SENDING : phase;
-    }
-
-    private synchronized void sent() {
-        phase = phase == Phase.SENDING ? Phase.SENT : phase;
-    }
+    // ---- The response ----
 
     @Override
     void responseHead(HttpResponse response, EntityDetails entity) throws HttpException {
-        sent();
-        status = response.getCode();
-        if (status == 200 && entity != null && !entity.isChunked() && entity.getContentLength() < 0) {
+        progress.requestSent();
+        responseHead = EngineResponseHead.of(response);
+        if (responseHead.isStream() && entity != null && !entity.isChunked() && entity.getContentLength() < 0) {
             // Its end could not be told from a break.
             throw new ProtocolException("a stream without chunks");
         }
-        notRun = response.containsHeader("X-Not-Processed");
-        Header load = response.getFirstHeader(EngineReportReader.LOAD_HEADER);
-        report = EngineReportReader.loadReport(load == null ? null : load.getValue());
     }
 
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
-        int given;
-        synchronized (this) {
-            capacity = channel;
-            given = credit;
-            credit = 0;
-        }
-        if (given > 0) {
-            channel.update(given);
-        }
-    }
-
-    /** The client has taken bytes: the engine may send as many more. */
-    private void taken(int bytes) {
-        CapacityChannel channel;
-        synchronized (this) {
-            channel = capacity;
-            credit += channel == null ? bytes : 0;
-        }
-        try {
-            if (channel != null && bytes > 0) {
-                channel.update(bytes);
-            }
-        } catch (IOException e) {
-            failed(e);
-        }
+        flowControl.open(channel);
     }
 
     @Override
     public void consume(ByteBuffer source) throws IOException {
-        int size = source.remaining();
-        if (status != 200) {
-            for (int room = limits.responseBytes() - answer.size(); room > 0 && source.hasRemaining(); room--) {
-                answer.write(source.get());
-            }
-            source.position(source.limit());
-            taken(size);
+        if (responseHead.isStream()) {
+            stream.receive(source);
             return;
         }
-        int held = events.pendingBytes();
-        try {
-            ByteBuffer whole = events.add(source);
-            // What waits for the rest of its event is not the client's to take.
-            taken(size - Math.max(0, whole.remaining() - held));
-            pass(whole, held);
-        } catch (InvalidInputException e) {
-            throw new IOException("the stream is spoilt: " + e.getMessage());
-        }
-    }
-
-    /** Passes whole events on; {@code credited} of their bytes have been taken off the engine's window. */
-    private void pass(ByteBuffer whole, int credited) {
-        if (!whole.hasRemaining()) {
-            return;
-        }
-        boolean begins;
-        synchronized (this) {
-            if (done.isDone()) {
-                return;
-            }
-            begins = phase != Phase.STREAMING;
-            firstAt = begins ? clock.now() : firstAt;
-            phase = Phase.STREAMING;
-            heardAt = clock.now();
-            untaken += whole.remaining();
-        }
-        if (begins) {
-            first.run();
-        }
-        int[] ahead = {credited};
-        client.writeEvents(whole, n -> {
-            synchronized (this) {
-                untaken -= n;
-                heardAt = clock.now();
-            }
-            int covered = Math.min(ahead[0], n);
-            ahead[0] -= covered;
-            taken(n - covered);
-        });
+        int size = source.remaining();
+        responseBody.add(source);
+        flowControl.grant(size);
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) throws HttpException, IOException {
-        String text = answer.toString(StandardCharsets.UTF_8);
-        switch (status) {
-            case 200 -> served();
-            case 202 -> settle(new Outcome(Ending.PREFILLED, EngineReportReader.cachedTokensOfPrefill(text), report));
-            case 410 -> settle(new Outcome(Ending.FULL, 1, report));
-            case 503, 504 -> settle(new Outcome(notRun ? Ending.FULL : Ending.ERROR, 0, report));
-            default ->
-                settle(new Outcome(outgoing.isRejection(status, text) ? Ending.REJECTED : Ending.ERROR, 0, report));
+        if (responseHead.isStream()) {
+            stream.end();
+            progress.end(
+                    responseHead.streamOutcome(progress.isStreaming(), stream.cachedTokens(), stream.loadReport()));
+        } else {
+            progress.end(responseHead.outcome(responseBody.text(), requestFactory));
         }
         returnConnection();
     }
-
-    private void served() throws IOException {
-        try {
-            int held = events.pendingBytes();
-            pass(events.end(), held);
-        } catch (InvalidInputException e) {
-            throw new IOException("the stream is spoilt: " + e.getMessage());
-        }
-        settle(
-                phase != Phase.STREAMING
-                        ? Outcome.of(Ending.RESET)
-                        : new Outcome(
-                                Ending.OK, events.cachedTokens(), report.isEmpty() ? events.loadReport() : report));
-    }
 }
--- a/src/main/java/dunlinladder/transport/engine/EngineClient.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineClient.java
@@ -15,47 +15,49 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The engines over HTTP. */
+/** The engines over HTTP: sends attempts and releases. All methods may be called by any thread. */
 public final class EngineClient implements EngineTransport {
 
-    private final EngineConnectionPool connections;
+    private final EngineCallContext context;
     private final EngineRegistry engines;
-    private final SendGuard gate;
-    private final Clock clock;
-    private final Limits limits;
     private final ScheduledExecutorService timer;
     private final AtomicInteger openReleases = new AtomicInteger();
 
-    /** Creates a client; {@code timer} moves releases on that get no answer. */
+    /**
+     * Creates a client.
+     *
+     * @param engines the engines that may be asked to release a KV cache
+     * @param sendGuard looked at before the first byte of an attempt
+     * @param timer has one thread, which moves releases on that get no answer
+     */
     public EngineClient(
             EngineConnectionPool connections,
             EngineRegistry engines,
-            SendGuard gate,
+            SendGuard sendGuard,
             Clock clock,
             Limits limits,
             ScheduledExecutorService timer) {
-        this.connections = connections;
+        this.context = new EngineCallContext(connections, sendGuard, clock, limits);
         this.engines = engines;
-        this.gate = gate;
-        this.clock = clock;
-        this.limits = limits;
         this.timer = timer;
     }
 
     @Override
     public Call send(Attempt attempt, ResponseSink client, Runnable first) {
-        EngineCall call = new EngineCall(connections, gate, clock, limits, attempt, client, first);
+        EngineCall call = new EngineCall(context, attempt, client, first);
         call.start(attempt.engine().address());
         return call;
     }
 
     @Override
     public void release(String id) {
+        EngineConnectionPool connections = context.connections();
         List<Engine> listed = new ArrayList<>(engines.listed());
         Collections.shuffle(listed);
         List<Engine> order = ReleaseOrder.of(listed, connections.lastResponses());
         openReleases.incrementAndGet();
-        new ReleaseChain(connections, timer, limits, id, order.iterator(), openReleases::decrementAndGet).start();
+        new ReleaseChain(connections, timer, context.limits(), id, order.iterator(), openReleases::decrementAndGet)
+                .start();
     }
 
     /** How many releases no engine has taken yet and are still being tried. */
--- /dev/null
+++ b/src/test/java/dunlinladder/transport/engine/AttemptProgressTest.java
@@ -0,0 +1,74 @@
+package dunlinladder.transport.engine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinladder.core.Clock;
+import dunlinladder.core.Outcome;
+import dunlinladder.core.Outcome.Ending;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What the end of an attempt proves in each phase, and that it has one end. */
+class AttemptProgressTest {
+
+    private final List<Ending> endings = new ArrayList<>();
+
+    /** Without an event an attempt is overdue at once; with one, after {@code streamSeconds}. */
+    private AttemptProgress progress(double streamSeconds) {
+        return new AttemptProgress(
+                new Clock(), 0, streamSeconds, (outcome, firstTokenSeconds) -> endings.add(outcome.ending()));
+    }
+
+    @Test
+    void breakBeforeTheLastByteIsAFailedConnectionAndAfterItAReset() {
+        AttemptProgress unsent = progress(1);
+        assertTrue(unsent.beginWrite());
+        unsent.requestIncomplete();
+        unsent.endBroken();
+        AttemptProgress sent = progress(1);
+        assertTrue(sent.beginWrite());
+        sent.endBroken();
+        AttemptProgress streaming = progress(1);
+        assertEquals(AttemptProgress.Arrival.FIRST, streaming.eventsArrived(1));
+        streaming.endBroken();
+        assertEquals(List.of(Ending.CONNECT_FAILED, Ending.RESET, Ending.RESET), endings);
+    }
+
+    @Test
+    void silenceEndsAsFailedConnectionAsTimeoutOrAsResetByPhase() {
+        assertTrue(progress(1).endIfOverdue());
+        AttemptProgress sent = progress(1);
+        sent.requestSent();
+        assertTrue(sent.endIfOverdue());
+        AttemptProgress streaming = progress(0);
+        streaming.eventsArrived(1);
+        streaming.eventsTaken(1);
+        assertTrue(streaming.endIfOverdue());
+        assertEquals(List.of(Ending.CONNECT_FAILED, Ending.TIMEOUT, Ending.RESET), endings);
+    }
+
+    @Test
+    void streamIsNotOverdueWhileTheClientHasNotReadWhatCame() {
+        AttemptProgress streaming = progress(1000);
+        streaming.eventsArrived(2);
+        streaming.eventsTaken(1);
+        assertFalse(streaming.endIfOverdue());
+        assertEquals(List.of(), endings);
+    }
+
+    @Test
+    void firstOutcomeStaysAndNothingIsSentOrPassedOnBehindIt() throws InterruptedException {
+        AttemptProgress progress = progress(1);
+        progress.end(Outcome.of(Ending.CANCELLED));
+        progress.endBroken();
+        assertTrue(progress.hasEnded());
+        assertTrue(progress.awaitEnd());
+        assertEquals(Ending.CANCELLED, progress.outcome().ending());
+        assertFalse(progress.beginWrite());
+        assertEquals(AttemptProgress.Arrival.AFTER_END, progress.eventsArrived(1));
+        assertEquals(List.of(Ending.CANCELLED), endings);
+    }
+}
