--- a/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
@@ -201,7 +201,10 @@
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
-                LOG.debug("ended by the other side: {}", e.toString());
+                LOG.debug(
+                        "event=engine_connection_ended address={} reason=\"{}\"",
+                        entry.getRoute().toHostString(),
+                        e.toString());
             }
         }
         entry.discardConnection(CloseMode.IMMEDIATE);
--- a/src/main/java/dunlinladder/transport/engine/SchedulingLagMonitor.java
+++ b/src/main/java/dunlinladder/transport/engine/SchedulingLagMonitor.java
@@ -14,59 +14,87 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a byte that has come waits until the thread that hears the engines reads it: a connection from this process
- * to itself, beside those to the engines. The age of an engine's answer can't be seen, but it has waited in the same
- * row.
+ * Measures how long a byte that has arrived waits until the thread that reads from the engines reads it: a connection
+ * from this process to itself, beside those to the engines. The age of an engine's answer can't be seen, but it has
+ * waited in the same queue.
+ *
+ * <p>The timer sends the probes, any thread asks for the lag, HttpCore's I/O thread receives. The lock of this object
+ * guards {@code probeSentAt} and {@code lastLagSeconds}; it is not held while the sockets are used. A monitor whose
+ * connection is broken logs {@code lag_monitor_lost} and tells of no lag.
  */
 public final class SchedulingLagMonitor implements IOEventHandler, AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingLagMonitor.class);
 
-    private final SocketChannel sending;
-    private final ByteBuffer beat = ByteBuffer.allocate(1);
-    private final ByteBuffer heard = ByteBuffer.allocate(16);
-    /** When the beat that is out was sent, by the system's clock of nanoseconds; 0 while none is out. */
-    private long sentAt;
-
-    private double last;
-
-    /** Opens the connection. */
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int PROBE_BYTES = 1;
+    private static final int RECEIVE_BYTES = 16;
+
+    /** The value of {@link #probeSentAt} while no probe is out. */
+    private static final long NO_PROBE = 0;
+
+    private final SocketChannel sender;
+    /** Used by the timer only. */
+    private final ByteBuffer probe = ByteBuffer.allocate(PROBE_BYTES);
+    /** Used by the I/O thread only. */
+    private final ByteBuffer received = ByteBuffer.allocate(RECEIVE_BYTES);
+    /** When the probe that is out was sent, by {@link System#nanoTime}. */
+    private long probeSentAt = NO_PROBE;
+
+    private double lastLagSeconds;
+
+    /**
+     * Opens the connection.
+     *
+     * @param connections whose I/O thread is watched
+     * @throws IOException if this process can't connect to itself
+     */
     public SchedulingLagMonitor(EngineConnectionPool connections) throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
             int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
             connections.open(InetAddress.getLoopbackAddress().getHostAddress() + ":" + port, this);
-            sending = listener.accept();
-            sending.configureBlocking(false);
+            sender = listener.accept();
+            sender.configureBlocking(false);
         }
     }
 
-    /** Sends a beat unless one is out; to be called often. */
+    /** Sends a probe unless one is out; to be called often, by one thread. */
     public void probe() {
         synchronized (this) {
-            if (sentAt != 0) {
+            if (probeSentAt != NO_PROBE) {
                 return;
             }
-            sentAt = System.nanoTime();
+            probeSentAt = System.nanoTime();
         }
         try {
-            sending.write(beat.clear());
+            sender.write(probe.clear());
         } catch (IOException e) {
-            LOG.warn("the pulse is lost: {}", e.toString());
-            lost();
+            logLost(e);
+            reset();
         }
     }
 
-    /** Seconds by which this process is behind, as far as is known: what is still out counts by its age. */
+    /** Seconds by which this process is behind, at least 0; a probe that is still out counts by its age. */
     public synchronized double lag() {
-        return Math.max(last, sentAt == 0 ? 0 : (System.nanoTime() - sentAt) / 1e9);
+        return Math.max(lastLagSeconds, probeSentAt == NO_PROBE ? 0 : probeAgeSeconds());
+    }
+
+    private double probeAgeSeconds() {
+        return (System.nanoTime() - probeSentAt) / NANOS_PER_SECOND;
     }
 
-    private synchronized void lost() {
-        sentAt = 0;
-        last = 0;
+    private synchronized void reset() {
+        probeSentAt = NO_PROBE;
+        lastLagSeconds = 0;
     }
 
+    private static void logLost(Exception reason) {
+        LOG.warn("event=lag_monitor_lost reason=\"{}\"", reason.toString());
+    }
+
+    // ---- Called by the I/O thread ----
+
     @Override
     public void connected(IOSession session) {
         session.setEvent(SelectionKey.OP_READ);
@@ -74,13 +102,13 @@
 
     @Override
     public void inputReady(IOSession session, ByteBuffer ahead) throws IOException {
-        if (session.read(heard.clear()) < 0) {
+        if (session.read(received.clear()) < 0) {
             session.close();
             return;
         }
         synchronized (this) {
-            last = sentAt == 0 ? last : (System.nanoTime() - sentAt) / 1e9;
-            sentAt = 0;
+            lastLagSeconds = probeSentAt == NO_PROBE ? lastLagSeconds : probeAgeSeconds();
+            probeSentAt = NO_PROBE;
         }
     }
 
@@ -96,16 +124,17 @@
 
     @Override
     public void exception(IOSession session, Exception e) {
-        LOG.warn("the pulse: {}", e.toString());
+        logLost(e);
     }
 
     @Override
     public void disconnected(IOSession session) {
-        lost();
+        reset();
     }
 
+    /** Ends the measurement. */
     @Override
     public void close() throws IOException {
-        sending.close();
+        sender.close();
     }
 }
