--- /dev/null
+++ b/src/test/java/dunlinladder/transport/engine/EventStreamFilterTest.java
@@ -0,0 +1,63 @@
+package dunlinladder.transport.engine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import dunlinladder.transport.json.InvalidInputException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What of an engine's stream is passed on. */
+class EventStreamFilterTest {
+
+    /** Feeds a stream in pieces that end at each bar; what passes is joined with bars, noise ends it. */
+    private static String filter(EventStreamFilter filter, String pieces) {
+        StringBuilder passed = new StringBuilder();
+        try {
+            for (String piece : pieces.replace('/', '\n').split("\\|")) {
+                ByteBuffer complete = filter.add(ByteBuffer.wrap(piece.getBytes(StandardCharsets.ISO_8859_1)));
+                passed.append(StandardCharsets.ISO_8859_1.decode(complete)).append('|');
+            }
+            passed.append(StandardCharsets.ISO_8859_1.decode(filter.end()));
+        } catch (InvalidInputException e) {
+            passed.append('!');
+        }
+        return passed.toString().replace('\n', '/');
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "data: {}//data: {|}//;data: {}//|data: {}//|",
+                "data: [DONE]//: x/;data: [DONE]//|: x/",
+                ": wait//|data: {}//;|: wait//data: {}//|",
+                "data: {}/\r|/;|data: {}/\r/|",
+                "data: {}//\u0001\u0002/;!",
+                "5f/data: {}//;!",
+                "data: {]//;!",
+                "data: {}//|data: {\"a\":\"\u00ff\"}//;data: {}//|!",
+                "data: 7//;!",
+                "event: a/data: {}//;event: a/data: {}//|",
+                "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx;!",
+                "HTTP/1.1 200 OK//;!"
+            })
+    void onlyCompleteEventsPassAndNoiseEndsTheStream(String pieces, String passed) {
+        assertEquals(passed, filter(new EventStreamFilter(64), pieces));
+    }
+
+    @Test
+    void usageAndLoadReportOfTheStreamAreRead() {
+        EventStreamFilter filter = new EventStreamFilter(1000);
+        filter(
+                filter,
+                "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":12}}}//"
+                        + ": X-Server-Load: queue=3//data: [DONE]//");
+        assertEquals(12, filter.cachedTokens());
+        assertEquals(Map.of("queue", 3.0), filter.loadReport());
+        assertEquals(0, new EventStreamFilter(1000).cachedTokens());
+    }
+}
