--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -64,8 +64,8 @@
         this.requestFactory = (EngineRequestFactory) attempt.request().payload();
         this.request = requestFactory.requestFor(attempt.engine());
         this.requestBody = ByteBuffer.wrap(request.body());
-        this.progress =
-                new AttemptProgress(context.clock(), attempt.until(), limits.streamSeconds(), this::reportOutcome);
+        this.progress = new AttemptProgress(
+                context.clock(), attempt.firstTokenDeadline(), limits.streamSeconds(), this::reportOutcome);
         this.flowControl = new EngineFlowControl(this::failed);
         this.stream = new EngineStreamRelay(
                 new EventStreamFilter(limits.eventBytes()), flowControl, progress, client, firstEventListener);
@@ -131,7 +131,7 @@
         BasicHttpRequest head = new BasicHttpRequest(request.method(), request.target());
         head.setAuthority(EngineAddress.authority(attempt.engine()));
         head.setHeader("X-Request-ID", attempt.request().id());
-        double left = attempt.until() - context.clock().now();
+        double left = attempt.firstTokenDeadline() - context.clock().now();
         head.setHeader("X-Timeout", Seconds.text(Math.max(MIN_TIMEOUT_SECONDS, left)));
         return head;
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineClient.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineClient.java
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public Call send(Attempt attempt, ResponseSink client, Runnable first) {
-        EngineCall call = new EngineCall(context, attempt, client, first);
+    public Call send(Attempt attempt, ResponseSink client, Runnable onFirstToken) {
+        EngineCall call = new EngineCall(context, attempt, client, onFirstToken);
         call.start(attempt.engine().address());
         return call;
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineResponseHead.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineResponseHead.java
@@ -38,9 +38,6 @@
     /** Sent, with any value, where the engine has not run the request. */
     private static final String NOT_PROCESSED_HEADER = "X-Not-Processed";
 
-    /** The note of {@link Ending#FULL} that says that there was no KV cache to fetch. */
-    private static final double KV_CACHE_MISSING = 1;
-
     /** The note of an ending that has nothing to note. */
     private static final double NO_NOTE = 0;
 
@@ -79,7 +76,7 @@
     Outcome outcome(String body, EngineRequestFactory requests) {
         return switch (status) {
             case PREFILLED -> new Outcome(Ending.PREFILLED, EngineReportReader.cachedTokensOfPrefill(body), loadReport);
-            case KV_CACHE_GONE -> new Outcome(Ending.FULL, KV_CACHE_MISSING, loadReport);
+            case KV_CACHE_GONE -> Outcome.kvCacheMissing(loadReport);
             case TURNED_AWAY, EXPIRED -> new Outcome(notProcessed ? Ending.FULL : Ending.ERROR, NO_NOTE, loadReport);
             default ->
                 new Outcome(requests.isRejection(status, body) ? Ending.REJECTED : Ending.ERROR, NO_NOTE, loadReport);
