--- /dev/null
+++ b/src/main/java/dunlinladder/apiformat/ChoiceBuffer.java
@@ -0,0 +1,33 @@
+package dunlinladder.apiformat;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** A choice of a reply, put together from its events. */
+final class ChoiceBuffer {
+
+    private final List<PartBuffer> parts = new ArrayList<>();
+    /** Set by the choice's last event, before the body is encoded. */
+    private ReplyEvent.ChoiceFinished finish;
+
+    void add(PartBuffer part) {
+        parts.add(part);
+    }
+
+    void finish(ReplyEvent.ChoiceFinished event) {
+        finish = event;
+    }
+
+    PartBuffer part(int index) {
+        return parts.get(index);
+    }
+
+    List<PartBuffer> parts() {
+        return parts;
+    }
+
+    /** How the choice ended. */
+    ReplyEvent.ChoiceFinished finish() {
+        return finish;
+    }
+}
