--- a/src/test/java/dunlinladder/apiformat/RepliesTest.java
+++ b/src/test/java/dunlinladder/apiformat/ReplyTranslatorTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Answers from each format to each other, streamed and whole, cut anywhere, broken anywhere. */
-class RepliesTest {
+/** Replies from each format to each other, streamed and complete, cut anywhere and broken anywhere. */
+class ReplyTranslatorTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ReplyEncoder.Identity IDENTITY = new ReplyEncoder.Identity("7", "shelf", 5, true, false, "");
 
     private static byte[] recorded(String name) throws IOException {
-        try (InputStream in = RepliesTest.class.getResourceAsStream("/apiformat/" + name)) {
+        try (InputStream in = ReplyTranslatorTest.class.getResourceAsStream("/apiformat/" + name)) {
             assertNotNull(in, name);
             return in.readAllBytes();
         }
@@ -42,48 +42,49 @@
                 .flatMap(from -> Arrays.stream(ApiFormat.values()).map(to -> Arguments.of(from, to)));
     }
 
-    /** What an answer says, without how it was cut into pieces. */
-    private static List<String> said(List<ReplyEvent> events) {
-        List<String> said = new ArrayList<>();
+    /** What a reply says, regardless of how it was cut into events. */
+    private static List<String> contentOf(List<ReplyEvent> events) {
+        List<String> content = new ArrayList<>();
         List<StringBuilder> parts = new ArrayList<>();
         for (ReplyEvent event : events) {
-            if (event instanceof ReplyEvent.PartStarted open) {
-                parts.add(new StringBuilder(
-                        open.kind() + " " + (open.callId() == null ? "" : open.callId() + " " + open.name() + " ")));
-            } else if (event instanceof ReplyEvent.PartDelta grow) {
-                parts.get(grow.part()).append(grow.text());
-            } else if (event instanceof ReplyEvent.PartFinished close) {
-                said.add(parts.get(close.part()).toString());
-            } else if (event instanceof ReplyEvent.ChoiceFinished finish) {
-                said.add("finish " + finish.reason());
+            if (event instanceof ReplyEvent.PartStarted started) {
+                parts.add(new StringBuilder(started.kind() + " "
+                        + (started.callId() == null ? "" : started.callId() + " " + started.name() + " ")));
+            } else if (event instanceof ReplyEvent.PartDelta delta) {
+                parts.get(delta.part()).append(delta.text());
+            } else if (event instanceof ReplyEvent.PartFinished finished) {
+                content.add(parts.get(finished.part()).toString());
+            } else if (event instanceof ReplyEvent.ChoiceFinished choice) {
+                content.add("finish " + choice.reason());
             } else if (event instanceof ReplyEvent.Usage usage) {
-                said.add("usage " + usage.prompt() + " " + usage.cached() + " " + usage.output());
+                content.add("usage " + usage.prompt() + " " + usage.cached() + " " + usage.output());
             } else if (event instanceof ReplyEvent.Failed failed) {
-                said.add("failed " + failed.error().kind());
+                content.add("failed " + failed.error().kind());
             } else if (event instanceof ReplyEvent.Completed) {
-                said.add("end");
+                content.add("end");
             }
         }
-        return said;
+        return content;
     }
 
-    private static List<ReplyEvent> read(ApiFormat format, byte[] stream) {
+    private static List<ReplyEvent> decode(ApiFormat format, byte[] stream) {
         List<ReplyEvent> events = new ArrayList<>();
-        ReplyDecoder reader = ReplyDecoder.of(format);
-        new ServerSentEventReader((name, data) -> events.addAll(reader.decodeEvent(name, data)))
+        ReplyDecoder decoder = ReplyDecoder.of(format);
+        new ServerSentEventReader((name, data) -> events.addAll(decoder.decodeEvent(name, data)))
                 .read(ByteBuffer.wrap(stream));
-        events.addAll(reader.endOfStream());
+        events.addAll(decoder.endOfStream());
         return events;
     }
 
-    private static String translate(ApiFormat from, ApiFormat to, byte[] stream, int step) {
-        ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
-        StringBuilder out = new StringBuilder();
-        for (int at = 0; at < stream.length; at += step) {
-            translation.translateChunk(ByteBuffer.wrap(stream, at, Math.min(step, stream.length - at)), out::append);
+    private static String translate(ApiFormat from, ApiFormat to, byte[] stream, int chunkSize) {
+        ReplyTranslator translator = new ReplyTranslator(from, to, IDENTITY, true);
+        StringBuilder output = new StringBuilder();
+        for (int at = 0; at < stream.length; at += chunkSize) {
+            translator.translateChunk(
+                    ByteBuffer.wrap(stream, at, Math.min(chunkSize, stream.length - at)), output::append);
         }
-        translation.endOfStream(out::append);
-        return out.toString();
+        translator.endOfStream(output::append);
+        return output.toString();
     }
 
     private static final List<String> TEXT =
@@ -98,25 +99,25 @@
 
     @ParameterizedTest
     @EnumSource(ApiFormat.class)
-    void eachFormatsStreamIsUnderstood(ApiFormat format) throws IOException {
-        assertEquals(TEXT, said(read(format, recorded("text-" + format.key() + ".sse"))));
+    void streamOfEachFormatIsDecoded(ApiFormat format) throws IOException {
+        assertEquals(TEXT, contentOf(decode(format, recorded("text-" + format.key() + ".sse"))));
     }
 
     @ParameterizedTest
     @EnumSource(value = ApiFormat.class, names = "COMPLETIONS", mode = EnumSource.Mode.EXCLUDE)
-    void callsInPiecesAreUnderstood(ApiFormat format) throws IOException {
-        assertEquals(CALLS, said(read(format, recorded("calls-" + format.key() + ".sse"))));
+    void callsInDeltasAreDecoded(ApiFormat format) throws IOException {
+        assertEquals(CALLS, contentOf(decode(format, recorded("calls-" + format.key() + ".sse"))));
     }
 
-    /** Cut at every byte or not at all, the client gets the same, and it says what the engine said. */
+    /** Cut at every byte or not at all, the client gets the same, and it says what the engine content. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aStreamSaysTheSameInEachOtherFormat(ApiFormat from, ApiFormat to) throws IOException {
+    void streamSaysTheSameInEachOtherFormatHoweverItIsCut(ApiFormat from, ApiFormat to) throws IOException {
         byte[] stream = recorded("text-" + from.key() + ".sse");
-        String whole = translate(from, to, stream, stream.length);
-        assertEquals(TEXT, said(read(to, whole.getBytes(StandardCharsets.UTF_8))));
-        for (int step : new int[] {1, 2, 3, 7, 64}) {
-            assertEquals(whole, translate(from, to, stream, step));
+        String unchunked = translate(from, to, stream, stream.length);
+        assertEquals(TEXT, contentOf(decode(to, unchunked.getBytes(StandardCharsets.UTF_8))));
+        for (int chunkSize : new int[] {1, 2, 3, 7, 64}) {
+            assertEquals(unchunked, translate(from, to, stream, chunkSize));
         }
     }
 
@@ -125,61 +126,61 @@
     void callsSayTheSameInEachOtherFormat(ApiFormat from, ApiFormat to) throws IOException {
         if (from != ApiFormat.COMPLETIONS && to != ApiFormat.COMPLETIONS) {
             byte[] stream = recorded("calls-" + from.key() + ".sse");
-            assertEquals(CALLS, said(read(to, translate(from, to, stream, 5).getBytes(StandardCharsets.UTF_8))));
+            assertEquals(
+                    CALLS, contentOf(decode(to, translate(from, to, stream, 5).getBytes(StandardCharsets.UTF_8))));
         }
     }
 
-    /** A client that wants one answer gets what the stream says, put together. */
+    /** A client that does not stream gets the stream put together. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aWholeAnswerSaysWhatTheStreamSaid(ApiFormat from, ApiFormat to) throws IOException {
-        ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, false);
-        translation.translateChunk(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), text -> {});
-        translation.endOfStream(text -> {});
-        assertTrue(translation.isComplete());
-        byte[] body = translation.completeReply().toString().getBytes(StandardCharsets.UTF_8);
-        assertEquals(TEXT, said(ReplyDecoder.of(to).decodeComplete(body)));
+    void completeReplySaysWhatTheStreamSaid(ApiFormat from, ApiFormat to) throws IOException {
+        ReplyTranslator translator = new ReplyTranslator(from, to, IDENTITY, false);
+        translator.translateChunk(ByteBuffer.wrap(recorded("text-" + from.key() + ".sse")), textext -> {});
+        translator.endOfStream(textext -> {});
+        assertTrue(translator.isComplete());
+        byte[] body = translator.completeReply().toString().getBytes(StandardCharsets.UTF_8);
+        assertEquals(TEXT, contentOf(ReplyDecoder.of(to).decodeComplete(body)));
     }
 
-    /** A stream that ends after any of its events but the last has failed, and its client is told so. */
+    /** A stream that ends after any event but its last has failed, and the client gets an error. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void aStreamThatBreaksOffNeverEndsWell(ApiFormat from, ApiFormat to) throws IOException {
+    void streamThatBreaksOffEndsWithAnError(ApiFormat from, ApiFormat to) throws IOException {
         String stream = new String(recorded("text-" + from.key() + ".sse"), StandardCharsets.UTF_8);
         String[] events = stream.split("(?<=\n\n)");
         int last = events.length;
         while (last > 0 && events[last - 1].startsWith(":")) {
             last--;
         }
-        for (int kept = 0; kept < last; kept++) {
-            byte[] part = String.join("", Arrays.copyOf(events, kept)).getBytes(StandardCharsets.UTF_8);
-            ReplyTranslator translation = new ReplyTranslator(from, to, IDENTITY, true);
-            StringBuilder out = new StringBuilder();
-            translation.translateChunk(ByteBuffer.wrap(part), out::append);
-            assertFalse(translation.isComplete(), "after " + kept);
-            translation.endOfStream(out::append);
-            assertEquals(
-                    ApiError.Kind.GARBLED, translation.error().orElseThrow().kind());
-            List<String> said = said(read(to, out.toString().getBytes(StandardCharsets.UTF_8)));
-            assertTrue(said.get(said.size() - 1).startsWith("failed "), said.toString());
+        for (int sent = 0; sent < last; sent++) {
+            byte[] beginning = String.join("", Arrays.copyOf(events, sent)).getBytes(StandardCharsets.UTF_8);
+            ReplyTranslator translator = new ReplyTranslator(from, to, IDENTITY, true);
+            StringBuilder output = new StringBuilder();
+            translator.translateChunk(ByteBuffer.wrap(beginning), output::append);
+            assertFalse(translator.isComplete(), "after " + sent);
+            translator.endOfStream(output::append);
+            assertEquals(ApiError.Kind.GARBLED, translator.error().orElseThrow().kind());
+            List<String> content = contentOf(decode(to, output.toString().getBytes(StandardCharsets.UTF_8)));
+            assertTrue(content.get(content.size() - 1).startsWith("failed "), content.toString());
         }
     }
 
-    /** An error in the midst of a stream is told in the client's own form, and nothing follows it. */
+    /** An error in the middle of a stream is written in the client's format, and nothing follows it. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void anErrorInMidStreamIsTold(ApiFormat from, ApiFormat to) throws IOException {
+    void errorInTheMiddleOfAStreamIsTranslated(ApiFormat from, ApiFormat to) throws IOException {
         String stream = new String(recorded("text-" + from.key() + ".sse"), StandardCharsets.UTF_8);
         String[] events = stream.split("(?<=\n\n)");
         String error = from == ApiFormat.MESSAGES
                 ? "event: error\ndata: {\"type\":\"error\",\"error\":{\"type\":\"overloaded_error\"}}\n\n"
                 : "data: {\"error\":{\"code\":\"server_error\",\"message\":\"secret host down\"}}\n\n";
         String broken = events[0] + events[1] + events[2] + error + events[3];
-        String out = translate(from, to, broken.getBytes(StandardCharsets.UTF_8), 9);
-        assertFalse(out.contains("secret"), out);
-        List<String> said = said(read(to, out.getBytes(StandardCharsets.UTF_8)));
-        assertTrue(said.get(said.size() - 1).startsWith("failed "), said.toString());
-        assertFalse(said.contains("end"));
+        String output = translate(from, to, broken.getBytes(StandardCharsets.UTF_8), 9);
+        assertFalse(output.contains("secret"), output);
+        List<String> content = contentOf(decode(to, output.getBytes(StandardCharsets.UTF_8)));
+        assertTrue(content.get(content.size() - 1).startsWith("failed "), content.toString());
+        assertFalse(content.contains("end"));
     }
 
     @ParameterizedTest
@@ -198,7 +199,7 @@
                         + "'incomplete_details':{'reason':'max_output_tokens'}}} | LENGTH",
                 "COMPLETIONS | {'choices':[{'index':0,'text':'a','finish_reason':'length'}]} | LENGTH"
             })
-    void eachEndHasItsRow(ApiFormat from, String event, Reason reason) {
+    void endOfAChoiceHasItsReason(ApiFormat from, String event, Reason reason) {
         List<ReplyEvent> events = ReplyDecoder.of(from).decodeEvent(null, event.replace('\'', '"'));
         assertEquals(
                 reason,
@@ -222,19 +223,19 @@
                 "404 | {'error':{'code':'model_not_found'}} | SERVER | false",
                 "0 | {'error':{'code':'content_filter'}} | FILTERED | true"
             })
-    void eachErrorHasItsRow(int status, String body, ApiError.Kind kind, boolean mine) throws IOException {
+    void engineErrorHasItsKind(int status, String body, ApiError.Kind kind, boolean requestAtFault) throws IOException {
         JsonNode node = JSON.readTree(body.replace('\'', '"'));
         assertEquals(kind, ErrorTranslator.decode(status, node).kind());
-        assertEquals(mine, ErrorTranslator.isRequestError(status, node));
+        assertEquals(requestAtFault, ErrorTranslator.isRequestError(status, node));
         for (ApiFormat to : ApiFormat.values()) {
-            JsonNode told = ErrorTranslator.encode(to, ErrorTranslator.decode(status, node));
-            assertFalse(told.toString().contains("your key"));
-            assertTrue(told.path("error").path("message").isTextual());
+            JsonNode encoded = ErrorTranslator.encode(to, ErrorTranslator.decode(status, node));
+            assertFalse(encoded.toString().contains("your key"));
+            assertTrue(encoded.path("error").path("message").isTextual());
         }
     }
 
     @Test
-    void onlyWhatNeverRanIsRefused() {
+    void onlyARequestThatNeverRanIsRefused() {
         assertEquals(ErrorTranslator.Verdict.REFUSED, ErrorTranslator.verdict(true, false));
         assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(true, true));
         assertEquals(ErrorTranslator.Verdict.FAILED, ErrorTranslator.verdict(false, false));
@@ -246,35 +247,35 @@
     /** The client sees one id, model and time through the stream, whatever the engine calls itself. */
     @ParameterizedTest
     @MethodSource("pairs")
-    void theAnswersIdentityIsTheGateways(ApiFormat from, ApiFormat to) throws IOException {
-        String out = translate(from, to, recorded("text-" + from.key() + ".sse"), 11);
-        assertFalse(out.contains("engine-model") || out.contains("engine-id"), out);
-        assertTrue(out.contains("shelf"));
+    void replyHasTheIdentityThatTheGatewayGaveIt(ApiFormat from, ApiFormat to) throws IOException {
+        String output = translate(from, to, recorded("text-" + from.key() + ".sse"), 11);
+        assertFalse(output.contains("engine-model") || output.contains("engine-id"), output);
+        assertTrue(output.contains("shelf"));
     }
 
     @Test
-    void logprobsEchoAndOlderCallsKeepTheirForm() throws IOException {
-        ReplyEncoder.Identity old = new ReplyEncoder.Identity("7", "shelf", 5, false, true, "once ");
-        ReplyTranslator text = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.COMPLETIONS, old, false);
-        text.translateChunk(
+    void logprobsEchoAndLegacyCallsKeepTheirForm() throws IOException {
+        ReplyEncoder.Identity legacy = new ReplyEncoder.Identity("7", "shelf", 5, false, true, "once ");
+        ReplyTranslator completions = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.COMPLETIONS, legacy, false);
+        completions.translateChunk(
                 ByteBuffer.wrap(("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"up\"},"
                                 + "\"logprobs\":{\"content\":[{\"token\":\"up\",\"logprob\":-1.5,"
                                 + "\"top_logprobs\":[{\"token\":\"on\",\"logprob\":-2.0}]}]},"
                                 + "\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
                         .getBytes(StandardCharsets.UTF_8)),
-                t -> {});
-        JsonNode choice = text.completeReply().path("choices").path(0);
+                text -> {});
+        JsonNode choice = completions.completeReply().path("choices").path(0);
         assertEquals("once up", choice.path("text").asText());
         assertEquals(
                 "{\"tokens\":[\"up\"],\"token_logprobs\":[-1.5],\"top_logprobs\":[{\"on\":-2.0}]}",
                 choice.path("logprobs").toString());
-        ReplyTranslator call = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.CHAT, old, false);
-        call.translateChunk(ByteBuffer.wrap(recorded("calls-chat.sse")), t -> {});
-        JsonNode message = call.completeReply().path("choices").path(0);
+        ReplyTranslator chat = new ReplyTranslator(ApiFormat.CHAT, ApiFormat.CHAT, legacy, false);
+        chat.translateChunk(ByteBuffer.wrap(recorded("calls-chat.sse")), text -> {});
+        JsonNode message = chat.completeReply().path("choices").path(0);
         assertEquals("function_call", message.path("finish_reason").asText());
         assertEquals(
                 "find",
                 message.path("message").path("function_call").path("name").asText());
-        assertEquals(Optional.empty(), call.error());
+        assertEquals(Optional.empty(), chat.error());
     }
 }
--- a/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
+++ b/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
@@ -18,10 +18,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Requests from each format to each other, field by field. */
+/** Requests from each format to each other, field by field; the cases are in files. */
 class RequestTranslatorTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long MAX_OUTPUT_TOKENS = 800;
 
     private final List<String> warnings = new ArrayList<>();
 
@@ -29,17 +30,17 @@
         return StrictJson.body(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    private JsonNode translate(String from, String to, String body, RequestTranslator.UnknownFields unknown) {
+    private JsonNode translate(String from, String to, String body, RequestTranslator.UnknownFields unknownFields) {
         return StrictJson.body(RequestTranslator.encode(
                         ApiFormat.of(to).orElseThrow(),
-                        RequestTranslator.decode(ApiFormat.of(from).orElseThrow(), json(body), unknown, warnings),
-                        800,
+                        RequestTranslator.decode(ApiFormat.of(from).orElseThrow(), json(body), unknownFields, warnings),
+                        MAX_OUTPUT_TOKENS,
                         warnings)
                 .toString()
                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The cases stand in a file: from, to, the client's body, what the engine gets. */
+    /** Columns: from, to, the client's body, the body that the engine gets. */
     @ParameterizedTest
     @CsvFileSource(
             resources = "/apiformat/requests.csv",
@@ -47,7 +48,7 @@
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
-    void aRequestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
+    void requestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
         assertEquals(json(expected), translate(from, to, body, RequestTranslator.UnknownFields.PASS));
     }
 
@@ -58,7 +59,7 @@
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
-    void whatCannotBeExpressedIsRefusedByName(String from, String to, String body, String field) {
+    void requestThatCannotBeExpressedIsRefusedWithItsField(String from, String to, String body, String field) {
         UntranslatableRequestException error = assertThrows(
                 UntranslatableRequestException.class,
                 () -> translate(from, to, body, RequestTranslator.UnknownFields.REFUSE));
@@ -81,7 +82,7 @@
                 "chat | messages | {'model':'m','max_tokens':1100,'reasoning_effort':'high',"
                         + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"
             })
-    void whatIsLeftOutIsSaid(String from, String to, String body, String field) {
+    void fieldThatIsLeftOutIsWarnedOf(String from, String to, String body, String field) {
         translate(from, to, body, RequestTranslator.UnknownFields.REFUSE);
         assertEquals(1, warnings.size(), warnings.toString());
         assertTrue(warnings.get(0).startsWith(field), warnings.get(0));
@@ -89,20 +90,21 @@
 
     @ParameterizedTest
     @CsvSource({"PASS, true, 0", "DROP, false, 1"})
-    void fieldsThatNoTableKnowsFollowTheOperator(RequestTranslator.UnknownFields unknown, boolean there, int warned) {
+    void unknownFieldsAreTreatedAsTheOperatorWants(
+            RequestTranslator.UnknownFields unknownFields, boolean present, int warningCount) {
         JsonNode body = translate(
                 "chat",
                 "responses",
                 "{'model':'m','messages':[{'role':'user','content':'a'}],'novel':{'deep':1}}",
-                unknown);
-        assertEquals(there, body.has("novel"));
-        assertEquals(warned, warnings.size());
+                unknownFields);
+        assertEquals(present, body.has("novel"));
+        assertEquals(warningCount, warnings.size());
     }
 
-    /** No field vanishes silently: each of a format's own fields is carried back to itself. */
+    /** No field is lost silently: each field of a format survives the neutral model. */
     @ParameterizedTest
     @EnumSource(ApiFormat.class)
-    void everyFieldOfAFormatComesBackAsItWas(ApiFormat format) throws IOException {
+    void everyFieldOfAFormatSurvivesTranslationToItself(ApiFormat format) throws IOException {
         JsonNode body = JSON.readTree(
                 RequestTranslatorTest.class.getResourceAsStream("/apiformat/full-" + format.key() + ".json"));
         for (FieldTable.Field field : FieldTable.of(format).fields()) {
@@ -116,13 +118,13 @@
                 RequestTranslator.encode(
                         format,
                         RequestTranslator.decode(format, body, RequestTranslator.UnknownFields.REFUSE, warnings),
-                        800,
+                        MAX_OUTPUT_TOKENS,
                         warnings));
         assertEquals(List.of(), warnings);
     }
 
     @Test
-    void deepNestingAndTrailingTextAreMalformed() {
+    void bodyIsMalformedWhenNestedTooDeepOrFollowedByText() {
         String deep = "{\"a\":" + "[".repeat(StrictJson.DEPTH + 1) + "]".repeat(StrictJson.DEPTH + 1) + "}";
         assertThrows(UntranslatableRequestException.class, () -> json(deep));
         assertThrows(UntranslatableRequestException.class, () -> json("{} {}"));
@@ -130,9 +132,9 @@
         assertThrows(UntranslatableRequestException.class, () -> json(""));
     }
 
-    /** The pages of the docs are what the tables print; {@code make docs} writes them. */
+    /** The pages are what the tables print; {@code make docs} writes them. */
     @Test
-    void theDocsShowTheTables() throws IOException {
+    void referencePagesShowTheTables() throws IOException {
         assertEquals(Files.readString(Path.of("docs/fields.md")), ReferencePages.fields());
         assertEquals(Files.readString(Path.of("docs/errors.md")), ReferencePages.errors());
     }
--- a/src/test/java/dunlinladder/apiformat/ServerSentEventReaderTest.java
+++ b/src/test/java/dunlinladder/apiformat/ServerSentEventReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Server-sent events, each case read whole and byte by byte. */
+/** Server-sent events, each case read in chunks of several sizes. */
 class ServerSentEventReaderTest {
 
     @ParameterizedTest
@@ -22,13 +22,13 @@
                 "event: x\\nid: 1\\ndata: a\\n\\n|a", "data: a\\n|none", "data: a|none", "\\n\\n\\n|none",
                 "data: héé\\n\\n|héé", "data: [DONE]\\n\\n|[DONE]", "datum: a\\n\\n|none"
             })
-    void eventsAreReadInPiecesOfAnySize(String stream, String expected) {
+    void eventsAreReadFromChunksOfAnySize(String stream, String expected) {
         byte[] bytes = stream.replace("\\n", "\n").replace("\\r", "\r").getBytes(StandardCharsets.UTF_8);
-        for (int size : new int[] {bytes.length, 1, 3}) {
+        for (int chunkSize : new int[] {bytes.length, 1, 3}) {
             List<String> events = new ArrayList<>();
             ServerSentEventReader reader = new ServerSentEventReader((name, data) -> events.add(data));
-            for (int at = 0; at < bytes.length; at += size) {
-                reader.read(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at)));
+            for (int at = 0; at < bytes.length; at += chunkSize) {
+                reader.read(ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at)));
             }
             assertEquals(
                     expected == null
