--- a/src/bench/java/dunlinladder/bench/TranslationBench.java
+++ b/src/bench/java/dunlinladder/bench/TranslationBench.java
@@ -24,7 +24,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a translation costs: a request by its size, and one event of an answer, for each pair of formats. */
+/** The cost of translation: of a request by its size, and of one event of a reply, for each pair of formats. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 2, time = 400, timeUnit = TimeUnit.MILLISECONDS)
@@ -33,8 +33,11 @@
 public class TranslationBench {
 
     private static final int EVENTS = 200;
+    private static final int OUTPUT_TOKENS = 800;
+    /** Lines of text that make a kilobyte. */
+    private static final int LINES_PER_KILOBYTE = 32;
 
-    /** A request of some size, of two formats. */
+    /** A request of some size, between two formats. */
     @State(Scope.Benchmark)
     public static class Request {
         /** From one format to another. */
@@ -50,23 +53,23 @@
 
         /** Makes the body. */
         @Setup
-        public void make() {
+        public void setUp() {
             from = ApiFormat.valueOf(pair.split(" ")[0]);
             to = ApiFormat.valueOf(pair.split(" ")[1]);
-            String text = "All that is known of this copy. ".repeat(kilobytes * 32);
-            String talk = switch (from) {
+            String text = "All that is known of this copy. ".repeat(kilobytes * LINES_PER_KILOBYTE);
+            String messages = switch (from) {
                 case COMPLETIONS -> "\"prompt\":\"" + text + "\"";
                 case RESPONSES -> "\"input\":\"" + text + "\"";
                 default -> "\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}],\"max_tokens\":50";
             };
-            body = ("{\"model\":\"m\",\"stream\":true,\"temperature\":0.5," + talk + "}")
+            body = ("{\"model\":\"m\",\"stream\":true,\"temperature\":0.5," + messages + "}")
                     .getBytes(StandardCharsets.UTF_8);
         }
     }
 
-    /** An answer of many events, of two formats. */
+    /** A reply of many events, between two formats. */
     @State(Scope.Benchmark)
-    public static class Answer {
+    public static class Reply {
         /** From one format to another. */
         @Param({
             "COMPLETIONS CHAT",
@@ -90,19 +93,19 @@
 
         /** Makes the stream. */
         @Setup
-        public void make() {
+        public void setUp() {
             from = ApiFormat.valueOf(pair.split(" ")[0]);
             to = ApiFormat.valueOf(pair.split(" ")[1]);
-            ReplyEncoder writer = ReplyEncoder.of(from, identity());
-            StringBuilder text = new StringBuilder(writer.encode(new ReplyEvent.Started("e", "e", 1)));
-            text.append(writer.encode(new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null)));
+            ReplyEncoder encoder = ReplyEncoder.of(from, identity());
+            StringBuilder text = new StringBuilder(encoder.encode(new ReplyEvent.Started("e", "e", 1)));
+            text.append(encoder.encode(new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null)));
             for (int i = 0; i < EVENTS; i++) {
-                text.append(writer.encode(new ReplyEvent.PartDelta(0, 0, "four words at once ", null)));
+                text.append(encoder.encode(new ReplyEvent.PartDelta(0, 0, "four words at once ", null)));
             }
-            text.append(writer.encode(new ReplyEvent.PartFinished(0, 0)));
-            text.append(writer.encode(new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null)));
-            text.append(writer.encode(new ReplyEvent.Usage(9, 0, 800, -1)));
-            text.append(writer.encode(new ReplyEvent.Completed()));
+            text.append(encoder.encode(new ReplyEvent.PartFinished(0, 0)));
+            text.append(encoder.encode(new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null)));
+            text.append(encoder.encode(new ReplyEvent.Usage(9, 0, OUTPUT_TOKENS, ReplyEvent.Usage.UNKNOWN_TOKENS)));
+            text.append(encoder.encode(new ReplyEvent.Completed()));
             stream = text.toString().getBytes(StandardCharsets.UTF_8);
         }
     }
@@ -121,24 +124,24 @@
                                 StrictJson.body(request.body),
                                 RequestTranslator.UnknownFields.PASS,
                                 new ArrayList<>()),
-                        800,
+                        OUTPUT_TOKENS,
                         new ArrayList<>())
                 .toString()
                 .getBytes(StandardCharsets.UTF_8)
                 .length;
     }
 
-    /** One event of an answer; its opening and end are shared out. */
+    /** One event of a reply; its start and end count in proportion. */
     @Benchmark
     @OperationsPerInvocation(EVENTS)
-    public int event(Answer answer) {
-        ReplyTranslator translation = new ReplyTranslator(answer.from, answer.to, identity(), true);
+    public int event(Reply reply) {
+        ReplyTranslator translator = new ReplyTranslator(reply.from, reply.to, identity(), true);
         int[] length = {0};
-        translation.translateChunk(
-                ByteBuffer.wrap(answer.stream), text -> length[0] += text.getBytes(StandardCharsets.UTF_8).length);
-        translation.endOfStream(text -> length[0] += text.length());
-        if (!translation.isComplete()) {
-            throw new IllegalStateException("not whole: " + translation.error());
+        translator.translateChunk(
+                ByteBuffer.wrap(reply.stream), text -> length[0] += text.getBytes(StandardCharsets.UTF_8).length);
+        translator.endOfStream(text -> length[0] += text.length());
+        if (!translator.isComplete()) {
+            throw new IllegalStateException("incomplete reply: " + translator.error());
         }
         return length[0];
     }
