--- a/src/main/java/dunlinladder/apiformat/CompletionsReplyDecoder.java
+++ b/src/main/java/dunlinladder/apiformat/CompletionsReplyDecoder.java
@@ -45,8 +45,8 @@
             ArrayNode alternatives = token.putArray("top_logprobs");
             logprobs.path("top_logprobs")
                     .path(i)
-                    .fields()
-                    .forEachRemaining(other -> putToken(alternatives.addObject(), other.getKey(), other.getValue()));
+                    .properties()
+                    .forEach(other -> putToken(alternatives.addObject(), other.getKey(), other.getValue()));
         }
         return list;
     }
