--- a/src/main/java/dunlinladder/apiformat/RequestDecoder.java
+++ b/src/main/java/dunlinladder/apiformat/RequestDecoder.java
@@ -40,7 +40,7 @@
         if (body == null || !body.isObject()) {
             throw UntranslatableRequestException.malformed("body", "must be a JSON object");
         }
-        body.fields().forEachRemaining(entry -> decodeField(entry.getKey(), entry.getValue()));
+        body.properties().forEach(entry -> decodeField(entry.getKey(), entry.getValue()));
         if (from == ApiFormat.CHAT && body.path("logprobs").asBoolean()) {
             // In this format a flag asks for the chosen tokens, and a number beside it for alternatives.
             parameters.putIfAbsent(RequestParameter.LOGPROBS, IntNode.valueOf(0));
@@ -69,7 +69,7 @@
         if (!object.isObject()) {
             throw UntranslatableRequestException.malformed(name, "must be an object");
         }
-        object.fields().forEachRemaining(entry -> {
+        object.properties().forEach(entry -> {
             String path = name + "." + entry.getKey();
             JsonNode value = entry.getValue();
             Optional<FieldTable.Field> field = fields.find(path);
