--- a/src/main/java/dunlinladder/lifecycle/ChatConfigChecks.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigChecks.java
@@ -14,6 +14,11 @@
 final class ChatConfigChecks {
 
     private static final Pattern ENVIRONMENT_VARIABLE = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
+    /** Parts of {@code deadlines.CLASS}. */
+    private static final int DEADLINE_KEY_PARTS = 2;
+    /** Parts of {@code keys.VARIABLE.tenant}. */
+    private static final int TENANT_KEY_PARTS = 3;
+
     private static final Set<String> UNKNOWN_FIELD_POLICIES = Set.of("pass", "drop", "refuse");
 
     /** Keys of one shape and the check of their values. */
@@ -23,7 +28,7 @@
     private static final List<KeyRule> KEY_RULES = List.of(
             new KeyRule(ChatConfigChecks::isDeadline, ChatConfigChecks::requirePositive),
             new KeyRule(ChatConfigChecks::isTenantOfKey, ChatConfigChecks::requireVariableName),
-            new KeyRule(ChatConfigChecks::isMaxTokens, ChatConfigChecks::requireWhole),
+            new KeyRule(ChatConfigChecks::isMaxTokens, ChatConfigChecks::requireInteger),
             new KeyRule("unknown_fields"::equals, ChatConfigChecks::requireUnknownFieldPolicy),
             new KeyRule("listen"::equals, ChatConfigChecks::acceptAny),
             new KeyRule(ChatConfigChecks::isClassOfModel, ChatConfigChecks::acceptAny),
@@ -77,12 +82,12 @@
     }
 
     private static boolean isDeadline(String key) {
-        return key.startsWith(ChatConfigReader.DEADLINES) && key.split("\\.").length == 2;
+        return key.startsWith(ChatConfigReader.DEADLINES) && key.split("\\.").length == DEADLINE_KEY_PARTS;
     }
 
     private static boolean isTenantOfKey(String key) {
         return key.startsWith("keys.")
-                && key.split("\\.").length == 3
+                && key.split("\\.").length == TENANT_KEY_PARTS
                 && lastPart(key).equals("tenant");
     }
 
@@ -112,7 +117,7 @@
         throw new InvalidInputException(key + " must be a number over 0, not " + value);
     }
 
-    private static void requireWhole(String key, String value) {
+    private static void requireInteger(String key, String value) {
         double number = requirePositive(key, value);
         if (number != Math.rint(number)) {
             throw new InvalidInputException(key + " must be a whole number, not " + value);
