--- a/src/main/java/dunlinladder/demo/DemoEngine.java
+++ b/src/main/java/dunlinladder/demo/DemoEngine.java
@@ -97,17 +97,17 @@
     }
 
     private void streamReply(OutputStream out) throws IOException {
-        ReplyEncoder encoder = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, null));
+        ReplyEncoder encoder = ReplyEncoder.of(format, new ReplyEncoder.Identity(name, name, 1, true, false, ""));
         for (ReplyEvent event : List.of(
-                new ReplyEvent.Begin(name, name, 1),
-                new ReplyEvent.Open(0, 0, ContentPart.Kind.TEXT, null, null),
-                new ReplyEvent.Grow(0, 0, "Three copies ", null),
-                new ReplyEvent.Grow(0, 0, "on the second shelf.", null),
-                new ReplyEvent.Close(0, 0),
-                new ReplyEvent.Finish(0, ReplyEvent.Reason.STOP, null),
+                new ReplyEvent.Started(name, name, 1),
+                new ReplyEvent.PartStarted(0, 0, ContentPart.Kind.TEXT, null, null),
+                new ReplyEvent.PartDelta(0, 0, "Three copies ", null),
+                new ReplyEvent.PartDelta(0, 0, "on the second shelf.", null),
+                new ReplyEvent.PartFinished(0, 0),
+                new ReplyEvent.ChoiceFinished(0, ReplyEvent.Reason.STOP, null),
                 new ReplyEvent.Usage(PROMPT_TOKENS, 0, COMPLETION_TOKENS, -1),
-                new ReplyEvent.End())) {
-            out.write(encoder.stream(event).getBytes(StandardCharsets.UTF_8));
+                new ReplyEvent.Completed())) {
+            out.write(encoder.encode(event).getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
     }
--- a/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
+++ b/src/main/java/dunlinladder/lifecycle/ChatConfigReader.java
@@ -101,8 +101,8 @@
                 .toList();
     }
 
-    private static RequestTranslator.Unknown unknownFields(FlatSettings settings) {
+    private static RequestTranslator.UnknownFields unknownFields(FlatSettings settings) {
         String policy = settings.text("unknown_fields").orElse(DEFAULT_UNKNOWN_FIELDS);
-        return RequestTranslator.Unknown.valueOf(policy.toUpperCase(Locale.ROOT));
+        return RequestTranslator.UnknownFields.valueOf(policy.toUpperCase(Locale.ROOT));
     }
 }
