--- a/src/main/java/dunlinladder/transport/http/ChunkedBodyDecoder.java
+++ b/src/main/java/dunlinladder/transport/http/ChunkedBodyDecoder.java
@@ -147,7 +147,7 @@
         return state == State.COMPLETE;
     }
 
-    /** Null: trailers are read and dropped. */
+    /** Null: trailers are read and discarded. */
     @Override
     public List<? extends Header> getTrailers() {
         return null;
--- a/src/main/java/dunlinladder/transport/http/ClientConnection.java
+++ b/src/main/java/dunlinladder/transport/http/ClientConnection.java
@@ -49,12 +49,12 @@
  */
 final class ClientConnection implements NHttpMessageParser<HttpRequest>, HandlerFactory<AsyncServerExchangeHandler> {
 
-    /** Bytes that are read at once where they are only dropped. */
-    private static final int DROP_BUFFER_BYTES = 1024;
+    /** Bytes that are read at once where they are only discarded. */
+    private static final int DISCARD_BUFFER_BYTES = 1024;
 
     private static final double NANOS_PER_SECOND = 1e9;
     /** Times the bound on a request: so long the rest of a body that was rejected may keep coming. */
-    private static final int DROPPED_BODY_FACTOR = 2;
+    private static final int DISCARDED_BODY_FACTOR = 2;
 
     /** How far the next request has come. */
     private enum Phase {
@@ -82,10 +82,10 @@
     private volatile boolean closedAmidHead;
     /** Whether it was told to end with the program; the shutdown's alone. */
     private boolean endRequested;
-    /** Whether a second request was rejected, and all that follows is dropped; the I/O thread's alone. */
-    private boolean droppingInput;
-    /** What is read to be dropped; allocated by the first who sends without waiting. */
-    private ByteBuffer dropBuffer;
+    /** Whether a second request was rejected, and all that follows is discarded; the I/O thread's alone. */
+    private boolean discardingInput;
+    /** What is read to be discarded; allocated by the first who sends without waiting. */
+    private ByteBuffer discardBuffer;
 
     ClientConnection(
             ProtocolIOSession session,
@@ -150,20 +150,20 @@
             }
             throw new ConnectionClosedException("closed by the client");
         }
-        if (droppingInput) {
-            drop(buffer);
+        if (discardingInput) {
+            discard(buffer);
             return null;
         }
         return parseHead(buffer);
     }
 
     /**
-     * What was sent without waiting for answers is read and dropped. Were it left unread, the client's end would stand
-     * behind it, and the request that was taken would run on unheard.
+     * What was sent without waiting for answers is read and discarded. Were it left unread, the client's end would
+     * stand behind it, and the request that was taken would run on unheard.
      */
-    private void drop(SessionInputBuffer buffer) throws IOException {
+    private void discard(SessionInputBuffer buffer) throws IOException {
         while (buffer.hasData()) {
-            buffer.read(dropBuffer.clear());
+            buffer.read(discardBuffer.clear());
         }
     }
 
@@ -200,8 +200,8 @@
     @Override
     public AsyncServerExchangeHandler create(HttpRequest request, HttpContext context) {
         if (openExchange != null) {
-            droppingInput = true;
-            dropBuffer = ByteBuffer.allocate(DROP_BUFFER_BYTES);
+            discardingInput = true;
+            discardBuffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
             return rejection();
         }
         ServerExchange exchange = exchanges.get();
@@ -246,7 +246,7 @@
             if (late && exchange.expire() || exchange.isStalled(limits.stallSeconds())) {
                 session.close(CloseMode.GRACEFUL);
             }
-        } else if (late && waited < DROPPED_BODY_FACTOR * limits.requestSeconds()) {
+        } else if (late && waited < DISCARDED_BODY_FACTOR * limits.requestSeconds()) {
             close();
         } else if (late) {
             // Still here: the rest of a body that was rejected keeps coming.
--- a/src/main/java/dunlinladder/transport/http/HttpListener.java
+++ b/src/main/java/dunlinladder/transport/http/HttpListener.java
@@ -113,7 +113,7 @@
         handedOver.incrementAndGet();
         try {
             while (connections.size() + handedOver.get() > maxConnections) {
-                closeLongestIdle();
+                evictIdle();
                 Thread.sleep(ADMISSION_POLL_MILLIS);
             }
         } catch (InterruptedException e) {
@@ -122,7 +122,7 @@
         return IO_THREAD;
     }
 
-    private void closeLongestIdle() {
+    private void evictIdle() {
         connections.values().stream()
                 .filter(connection -> connection.idleSeconds() > limits.evictSeconds())
                 .max(Comparator.comparingDouble(ClientConnection::idleSeconds))
--- a/src/main/java/dunlinladder/transport/http/RequestBody.java
+++ b/src/main/java/dunlinladder/transport/http/RequestBody.java
@@ -9,8 +9,8 @@
 
 /**
  * Gathers the body of one request within two bounds: its own length, and the sum of all bodies that the gateway holds,
- * as many clients with long bodies would fill the memory. A body that is not wanted any more is read and dropped for a
- * while all the same, since a close midway could lose the answer.
+ * as many clients with long bodies would fill the memory. A body that is not wanted any more is read and discarded for
+ * a while all the same, since a close midway could lose the answer.
  *
  * <p>The I/O thread of the connection fills it. The timer may call {@link #expire}, and whoever ends the exchange calls
  * {@link #release}: the object's monitor guards what they share with the I/O thread, {@code reservedBytes},
@@ -20,7 +20,7 @@
 final class RequestBody {
 
     /** A body that is dropped may be so many times as long as the longest that is taken. */
-    private static final long MAX_DROPPED_BODIES = 16;
+    private static final long MAX_DISCARDED_BODIES = 16;
 
     /** What a part of the body meets. */
     enum Admission {
@@ -30,7 +30,7 @@
         /** The sum of all bodies is over its bound, from this part on. */
         NO_CAPACITY,
         /** The request had been answered or given up before. */
-        DROPPED
+        DISCARDED
     }
 
     private enum State {
@@ -38,12 +38,12 @@
         /** All of the request is here and has been taken. */
         COMPLETE,
         /** Answered or given up before the body was here, which is then read and thrown away. */
-        DROPPED
+        DISCARDED
     }
 
     private final int maxBytes;
-    private final long maxHeldBytes;
-    private final AtomicLong heldBytes;
+    private final long maxTotalBytes;
+    private final AtomicLong totalBytes;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private volatile State state = State.GATHERING;
     /** Bytes that have come, dropped ones included; the I/O thread's alone. */
@@ -52,11 +52,11 @@
     private int reservedBytes;
     private boolean released;
 
-    /** Creates an empty body; {@code heldBytes} counts the bytes of all bodies that are held. */
-    RequestBody(Limits limits, AtomicLong heldBytes) {
+    /** Creates an empty body; {@code totalBytes} counts the bytes of all bodies that are held. */
+    RequestBody(Limits limits, AtomicLong totalBytes) {
         this.maxBytes = limits.bodyBytes();
-        this.maxHeldBytes = limits.totalBodyBytes();
-        this.heldBytes = heldBytes;
+        this.maxTotalBytes = limits.totalBodyBytes();
+        this.totalBytes = totalBytes;
     }
 
     /** Whether a body of this length, in bytes, is too long. */
@@ -65,12 +65,12 @@
     }
 
     /** Has what is still to come dropped. */
-    void drop() {
-        state = State.DROPPED;
+    void discard() {
+        state = State.DISCARDED;
     }
 
-    boolean isDropped() {
-        return state == State.DROPPED;
+    boolean isDiscarded() {
+        return state == State.DISCARDED;
     }
 
     /** Gives up a request that is not here in full; false where it is, and then it has been taken. */
@@ -78,7 +78,7 @@
         if (state == State.COMPLETE) {
             return false;
         }
-        state = State.DROPPED;
+        state = State.DISCARDED;
         return true;
     }
 
@@ -93,15 +93,15 @@
     /** Decides on the next part, of so many bytes, which is to be given to {@link #consume} then. */
     Admission admit(int size) {
         receivedBytes += size;
-        if (isDropped()) {
-            return Admission.DROPPED;
+        if (isDiscarded()) {
+            return Admission.DISCARDED;
         }
         if (isTooLong(receivedBytes)) {
-            drop();
+            discard();
             return Admission.TOO_LONG;
         }
         if (!reserve(size)) {
-            drop();
+            discard();
             return Admission.NO_CAPACITY;
         }
         return Admission.ADMITTED;
@@ -112,7 +112,7 @@
             return false;
         }
         reservedBytes += size;
-        return heldBytes.addAndGet(size) <= maxHeldBytes;
+        return totalBytes.addAndGet(size) <= maxTotalBytes;
     }
 
     /**
@@ -121,10 +121,10 @@
      * @throws ConnectionClosedException where what is dropped goes on and on
      */
     void consume(ByteBuffer part) throws IOException {
-        if (isDropped()) {
+        if (isDiscarded()) {
             content.reset();
             part.position(part.limit());
-            if (receivedBytes > MAX_DROPPED_BODIES * maxBytes) {
+            if (receivedBytes > MAX_DISCARDED_BODIES * maxBytes) {
                 throw new ConnectionClosedException("the body has no end");
             }
         } else {
@@ -142,7 +142,7 @@
     /** Takes this body out of the sum of all bodies; nothing is admitted behind it. */
     synchronized void release() {
         released = true;
-        heldBytes.addAndGet(-reservedBytes);
+        totalBytes.addAndGet(-reservedBytes);
         reservedBytes = 0;
     }
 }
--- a/src/main/java/dunlinladder/transport/http/ServerExchange.java
+++ b/src/main/java/dunlinladder/transport/http/ServerExchange.java
@@ -59,12 +59,12 @@
      * Creates an exchange.
      *
      * @param closing whether connections are to close with their answer
-     * @param heldBodyBytes counts the bytes of all bodies that are held
+     * @param totalBodyBytes counts the bytes of all bodies that are held
      */
-    protected ServerExchange(Dispatcher dispatcher, Limits limits, BooleanSupplier closing, AtomicLong heldBodyBytes) {
+    protected ServerExchange(Dispatcher dispatcher, Limits limits, BooleanSupplier closing, AtomicLong totalBodyBytes) {
         this.dispatcher = dispatcher;
         this.closing = closing;
-        this.body = new RequestBody(limits, heldBodyBytes);
+        this.body = new RequestBody(limits, totalBodyBytes);
     }
 
     // ---- What a front adds ----
@@ -160,7 +160,7 @@
         }
         HttpResponse head = new BasicHttpResponse(status);
         headers.forEach(head::setHeader);
-        if (closing.getAsBoolean() || body.isDropped()) {
+        if (closing.getAsBoolean() || body.isDiscarded()) {
             head.setHeader(HttpHeaders.CONNECTION, HeaderElements.CLOSE);
         }
         try {
@@ -196,7 +196,7 @@
         context = exchangeContext;
         if (entity != null && body.isTooLong(entity.getContentLength())) {
             // Known from the head: a client with 60 MB to send need not send them first.
-            body.drop();
+            body.discard();
             bodyTooLong();
             return;
         }
--- a/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
+++ b/src/test/java/dunlinladder/transport/chat/ChatRequestTest.java
@@ -52,14 +52,14 @@
                 "{'model':'m','messages':[{'role':'user','content':7}]}|400|content",
                 "{'model':'m','messages':[{'role':'user','content':[{'type':'image_url'}]}]}|400|image_url"
             })
-    void faultsAreNamed(String body, int status, String named) {
+    void namesTheFault(String body, int status, String named) {
         ChatError error = assertThrows(ChatError.class, () -> read(body));
         assertEquals(status, error.status);
         assertEquals(true, error.getMessage().contains(named), error.getMessage());
     }
 
     @Test
-    void lengthsAreFourCharactersEach() {
+    void estimatesFourCharactersToAToken() {
         ChatRequest request = messages(SYSTEM + "," + USER);
         assertEquals(4, request.prompt().tokens());
         assertEquals(2, request.prompt().prefixTokens());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void turnsOfAConversationShareItsSession() {
+    void messagesOfAConversationShareItsSession() {
         assertEquals(
                 messages(SYSTEM + "," + USER).prompt().session(),
                 messages(SYSTEM + "," + USER + LATER).prompt().session());
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void enginesAreAlwaysAskedToStream() {
+    void asksEnginesToStreamWhateverTheClientWants() {
         String whole = "{'model':'m','temperature':0.5,'messages':[" + USER + "],'stream':";
         assertEquals(
                 (whole + "true}").replace('\'', '"'),
--- a/src/test/java/dunlinladder/transport/http/ClientConnectionTest.java
+++ b/src/test/java/dunlinladder/transport/http/ClientConnectionTest.java
@@ -21,11 +21,11 @@
     private static final Limits LIMITS = LimitsBuilder.limits().build();
     private static final String HEAD = "POST /v1 HTTP/1.1\nHost: x\nContent-Length: 4\n\n";
 
-    private final List<String> done = new ArrayList<>();
-    private final Input buffer = new Input();
+    private final List<String> sessionCalls = new ArrayList<>();
+    private final TestInputBuffer buffer = new TestInputBuffer();
     private final ProtocolIOSession session = (ProtocolIOSession) Proxy.newProxyInstance(
             getClass().getClassLoader(), new Class<?>[] {ProtocolIOSession.class}, (proxy, method, arguments) -> {
-                done.add(method.getName());
+                sessionCalls.add(method.getName());
                 return null;
             });
     private final ClientConnection connection = new ClientConnection(session, LIMITS, Http1Config.DEFAULT, () -> {
@@ -34,29 +34,29 @@
 
     /** The rest comes behind the close: it must not be taken, as its answer would find no connection. */
     @Test
-    void aHeadThatIsWholeAfterTheCloseIsNotTaken() throws Exception {
+    void takesNoRequestWhoseHeadBecomesCompleteAfterTheClose() throws Exception {
         buffer.put(HEAD.substring(0, 30));
         assertNull(connection.parse(buffer, false));
         connection.close();
-        assertEquals(List.of("close"), done);
+        assertEquals(List.of("close"), sessionCalls);
         buffer.put(HEAD.substring(30));
         assertThrows(ConnectionClosedException.class, () -> connection.parse(buffer, false));
     }
 
     /** The head is whole and its exchange not yet open: the close waits for the answer. */
     @Test
-    void aCloseThatComesRightBehindAHeadWaitsForItsAnswer() throws Exception {
+    void answersARequestWhoseHeadIsCompleteBeforeTheClose() throws Exception {
         buffer.put(HEAD);
         assertNotNull(connection.parse(buffer, false));
         connection.close();
-        assertEquals(List.of("enqueue"), done);
+        assertEquals(List.of("enqueue"), sessionCalls);
     }
 
     @Test
-    void aConnectionThatRestsIsClosedInItsOwnThread() {
+    void closesAnIdleConnectionOnItsIoThread() {
         connection.close();
         connection.end();
         connection.end();
-        assertEquals(List.of("enqueue", "enqueue"), done);
+        assertEquals(List.of("enqueue", "enqueue"), sessionCalls);
     }
 }
--- a/src/test/java/dunlinladder/transport/http/HeadsAndChunksTest.java
+++ b/src/test/java/dunlinladder/transport/http/HeadsAndChunksTest.java
@@ -26,7 +26,7 @@
 /** What measures a message: its head, and the chunks of its body. */
 class HeadsAndChunksTest {
 
-    private final Input buffer = new Input();
+    private final TestInputBuffer buffer = new TestInputBuffer();
     private final MessageHeadParser<HttpRequest> requests =
             new MessageHeadParser<>(new DefaultHttpRequestParserFactory(Http1Config.DEFAULT).create(), 200, 0);
 
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5//", "Transfer-Encoding: Chunked//", "A: b/C: d//"})
-    void plainHeadsAreTaken(String headers) throws Exception {
+    void acceptsPlainHeads(String headers) throws Exception {
         assertNotNull(head(headers));
     }
 
@@ -66,12 +66,12 @@
                 ": c//",
                 "A: b\u0000//"
             })
-    void doubtfulHeadsAreNot(String headers) {
+    void rejectsHeadsWhoseMeaningIsInDoubt(String headers) {
         assertThrows(HttpException.class, () -> head(headers));
     }
 
     @Test
-    void headsHaveAnEnd() throws Exception {
+    void rejectsAHeadOverItsBound() throws Exception {
         assertNull(head("A: b/"));
         assertThrows(HttpException.class, () -> {
             for (int i = 0; i < 20; i++) {
@@ -82,13 +82,13 @@
     }
 
     @Test
-    void halfAHeadIsNone() throws Exception {
+    void rejectsHalfAHeadAtTheEndOfTheConnection() throws Exception {
         assertNull(head("A: b/"));
         assertThrows(ConnectionClosedException.class, () -> requests.parse(buffer, true));
     }
 
     @Test
-    void interimAnswersAreCounted() throws Exception {
+    void rejectsMoreInterimAnswersThanItsBound() throws Exception {
         MessageHeadParser<HttpResponse> answers =
                 new MessageHeadParser<>(new DefaultHttpResponseParserFactory(Http1Config.DEFAULT).create(), 200, 2);
         for (int code : new int[] {100, 102, 200, 103, 103}) {
@@ -134,7 +134,7 @@
         "+5/hello, !",
         "/, !"
     })
-    void chunks(String chunks, String read) {
+    void keepsWhatCameBeforeAFaultOrTheEnd(String chunks, String read) {
         assertEquals(read, body(chunks));
     }
 }
--- a/src/test/java/dunlinladder/transport/http/Input.java
+++ b/src/test/java/dunlinladder/transport/http/TestInputBuffer.java
@@ -9,9 +9,9 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /** What HttpCore reads heads and chunks from; its own buffer is not public. */
-final class Input extends ExpandableBuffer implements SessionInputBuffer {
+final class TestInputBuffer extends ExpandableBuffer implements SessionInputBuffer {
 
-    Input() {
+    TestInputBuffer() {
         super(64);
     }
 
@@ -47,9 +47,9 @@
     }
 
     @Override
-    public int read(ByteBuffer into, int most) {
+    public int read(ByteBuffer into, int max) {
         int read = 0;
-        for (; read < most && into.hasRemaining() && hasData(); read++) {
+        for (; read < max && into.hasRemaining() && hasData(); read++) {
             into.put((byte) read());
         }
         return read;
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public int read(WritableByteChannel into, int most) {
+    public int read(WritableByteChannel into, int max) {
         throw new UnsupportedOperationException();
     }
 
--- /dev/null
+++ b/src/test/java/dunlinladder/transport/json/JsonObjectStreamTest.java
@@ -0,0 +1,55 @@
+package dunlinladder.transport.json;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.SequenceInputStream;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Objects that follow each other on a connection. */
+class JsonObjectStreamTest {
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{'seq':4}~{'seq':5}~|2|0",
+                "{~  'seq': 4,~  'x': [~  ]~}~~~{'seq':5}|2|0",
+                "^~^{'seq':4}~^~^{'seq':5}~|2|2",
+                "{'seq':4}{'seq':5}|2|0",
+                "|0|0",
+                "^~^~^|0|2"
+            })
+    void readsObjectsHoweverTheyAreLaidOut(String text, int objects, int blank) throws IOException {
+        // What stands between two ^ comes as one piece.
+        String raw = (text == null ? "" : text).replace('\'', '"').replace('~', '\n');
+        List<InputStream> pieces = Arrays.stream(raw.split("\\^"))
+                .map(piece -> (InputStream) new ByteArrayInputStream(piece.getBytes()))
+                .toList();
+        AtomicInteger blanks = new AtomicInteger();
+        JsonObjectStream values =
+                new JsonObjectStream(new SequenceInputStream(Collections.enumeration(pieces)), blanks::incrementAndGet);
+        for (int i = 0; i < objects; i++) {
+            assertEquals(4 + i, values.next().integer("seq"));
+        }
+        assertNull(values.next());
+        assertEquals(blank, blanks.get());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"[1]", "x", "{\"seq\":", "7"})
+    void rejectsWhatIsNotAnObject(String text) throws IOException {
+        JsonObjectStream values = new JsonObjectStream(new ByteArrayInputStream(text.getBytes()), () -> {});
+        assertThrows(InvalidInputException.class, values::next);
+    }
+}
--- a/src/test/java/dunlinladder/transport/platform/PlatformRequestReaderTest.java
+++ b/src/test/java/dunlinladder/transport/platform/PlatformRequestReaderTest.java
@@ -52,7 +52,7 @@
                 "X-Retried|again|102.5 120.0 80.0 true true",
                 "X-Route-Key|none|102.5 120.0 80.0 false false"
             })
-    void whatIsRead(String header, String value, String expected) {
+    void readsEachHeader(String header, String value, String expected) {
         Request r = read(header, value);
         assertEquals(
                 expected,
@@ -65,7 +65,7 @@
     /** Heads are read byte by byte: a name of the settings beyond ASCII comes as the bytes of its UTF-8. */
     @ParameterizedTest
     @CsvSource({"\u00e9t\u00e9", "\u4e16\u754c", "a;b=c", "z'q", "two words"})
-    void namesMayHoldAnyCharacters(String name) {
+    void acceptsNamesOfAnyCharacters(String name) {
         PlatformRequestReader any = new PlatformRequestReader(List.of("first", name), List.of(1.0, 2.0), List.of());
         String sent = new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
         Map<String, String> headers = Map.of("X-Request-ID", "ab12", "X-Priority-Class", sent);
@@ -95,7 +95,7 @@
                 "X-Attrs, prompt_len=many",
                 "X-Attrs, max_out=-1"
             })
-    void faultsNameTheirHeader(String header, String value) {
+    void namesTheFaultyHeader(String header, String value) {
         InvalidInputException error = assertThrows(InvalidInputException.class, () -> read(header, value));
         assertTrue(error.getMessage().contains(header), error.getMessage());
     }
