--- a/src/test/java/dunlinladder/it/ChatTest.java
+++ b/src/test/java/dunlinladder/it/ChatTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -31,7 +30,7 @@
     @TempDir
     private static Path folder;
 
-    private static Running running;
+    private static RunningGateway gateway;
 
     @BeforeAll
     static void start() throws Exception {
@@ -40,16 +39,16 @@
                 {"serial":1,"settings":{"listen":"127.0.0.1:0","deadlines.listing":"0.8",
                 "keys.CHAT_KEY.tenant":"acme","models.find.class":"lookup",
                 "models.list.class":"listing"}}""");
-        running = new Running(Map.of("CHAT_KEY", "secret"), state);
+        gateway = RunningGateway.builder().chatFront(state).start();
     }
 
     @AfterAll
     static void stop() throws Exception {
-        running.close();
+        gateway.close();
     }
 
-    private static Browser post(String model, boolean stream, String text) throws Exception {
-        return new Browser(running.chatPort)
+    private static TestClient post(String model, boolean stream, String text) throws Exception {
+        return new TestClient(gateway.chatPort)
                 .send(
                         "POST",
                         "/v1/chat/completions",
@@ -62,10 +61,10 @@
 
     @Test
     void streamsChunksAndTheClosingEvent() throws Exception {
-        try (Browser browser = post("find", true, "plain")) {
-            assertTrue(browser.head());
-            assertEquals("text/event-stream", browser.headers.get("content-type"));
-            String[] events = browser.body().split("\n\n");
+        try (TestClient client = post("find", true, "plain")) {
+            assertTrue(client.readHead());
+            assertEquals("text/event-stream", client.headers.get("content-type"));
+            String[] events = client.readBody().split("\n\n");
             assertEquals(3, events.length);
             assertTrue(
                     events[0].matches("data: \\{\"id\":\"chatcmpl-[0-9a-f]+\",\"object\":\"chat.completion"
@@ -79,10 +78,10 @@
 
     @Test
     void answersWholeWhereNoStreamIsWanted() throws Exception {
-        try (Browser browser = post("list", false, "plain")) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
-            String body = browser.body();
+        try (TestClient client = post("list", false, "plain")) {
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
+            String body = client.readBody();
             assertTrue(body.contains("\"object\":\"chat.completion\"")
                     && body.contains("\"content\":\"one two\"")
                     && body.contains("\"finish_reason\":\"stop\"")
@@ -97,21 +96,21 @@
         "list, false, unclosed, 502",
         "find, true, spoilt size, 200",
         "list, false, spoilt opening, 502",
-        "list, true, reset-writer, 502",
-        "list, true, hang-writer, 504",
-        "list, false, hang-reader, 429",
+        "list, true, reset-decode, 502",
+        "list, true, hang-decode, 504",
+        "list, false, hang-prefill, 429",
         "gone, true, plain, 404"
     })
     void brokenAnswersAreNotPassedOffAsWhole(String model, boolean stream, String text, int status) throws Exception {
-        try (Browser browser = post(model, stream, text + " once")) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            String body = browser.body();
+        try (TestClient client = post(model, stream, text + " once")) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            String body = client.readBody();
             assertTrue(body.contains("\"error\":{\"message\""), body);
             assertFalse(body.contains("[DONE]"), body);
             // Client libraries repeat a 5xx by themselves unless they are told not to.
-            assertEquals(status >= 500 ? "false" : null, browser.headers.get("X-Should-Retry"));
-            assertEquals(status == 429, browser.headers.containsKey("Retry-After"));
+            assertEquals(status >= 500 ? "false" : null, client.headers.get("X-Should-Retry"));
+            assertEquals(status == 429, client.headers.containsKey("Retry-After"));
         }
     }
 
@@ -129,15 +128,15 @@
                 "POST|/v1/chat/completions|secret|long|413"
             })
     void requestsAreChecked(String method, String target, String key, String body, int status) throws Exception {
-        try (Browser browser = new Browser(running.chatPort)
+        try (TestClient client = new TestClient(gateway.chatPort)
                 .send(
                         method,
                         target,
                         "Authorization: Bearer " + key + "\r\n",
                         body.equals("long") ? "x".repeat(300_000) : body)) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            assertTrue(browser.body().contains(status == 200 ? "\"id\":\"find\"" : "\"error\":{"));
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            assertTrue(client.readBody().contains(status == 200 ? "\"id\":\"find\"" : "\"error\":{"));
         }
     }
 
@@ -145,7 +144,7 @@
     @Test
     void twoThousandMixedRequests() throws Exception {
         String[] kinds = {
-            "plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-writer", "plain", "pause"
+            "plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-decode", "plain", "pause"
         };
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<String>> outcomes = new ArrayList<>();
@@ -163,10 +162,10 @@
         clients.shutdown();
         for (int i = 0; i < 2000; i++) {
             String name = "-list-" + i + ".";
-            long ran = running.atWriters("POST", name)
-                    - (running.atWriters("POST", "busy-writer" + name) > 0
-                            ? running.writers.stream()
-                                    .filter(w -> w.count("POST", name) > 0)
+            long ran = gateway.decodeRequestCount("POST", name)
+                    - (gateway.decodeRequestCount("POST", "busy-decode" + name) > 0
+                            ? gateway.decodeEngines.stream()
+                                    .filter(w -> w.requestCount("POST", name) > 0)
                                     .count()
                             : 0);
             assertTrue(ran <= 1, name + " ran " + ran + " times");
@@ -178,15 +177,15 @@
     }
 
     private static String outcome(String model, boolean stream, String kind, String name) throws Exception {
-        try (Browser browser = post(model, stream, name)) {
-            assertTrue(browser.head(), name);
-            if (kind.equals("pause") && browser.status == 200) {
+        try (TestClient client = post(model, stream, name)) {
+            assertTrue(client.readHead(), name);
+            if (kind.equals("pause") && client.status == 200) {
                 return "left";
             }
-            String body = browser.body();
+            String body = client.readBody();
             int done = body.split("data: \\[DONE]", -1).length - 1;
             int errors = body.split("\"error\":\\{", -1).length - 1;
-            if (browser.status == 200 && stream) {
+            if (client.status == 200 && stream) {
                 assertEquals(1, done + errors, name + body);
                 assertEquals(kind.equals("cut") || kind.equals("unclosed") ? 1 : 0, errors, name);
                 // Nothing may follow the terminal event.
@@ -196,23 +195,23 @@
                                         == Math.max(body.indexOf("data: [DONE]"), body.indexOf("data: {\"error\"")),
                         body);
             } else {
-                assertEquals(browser.status == 200 ? 0 : 1, errors, name);
+                assertEquals(client.status == 200 ? 0 : 1, errors, name);
             }
-            if (browser.status == 429) {
+            if (client.status == 429) {
                 return "refused";
             }
-            assertTrue(browser.status == 200 || browser.status == 502, name + browser.status);
+            assertTrue(client.status == 200 || client.status == 502, name + client.status);
             return errors > 0 ? "broken" : "served";
         }
     }
 
     @Test
     void chatIsOffWithoutAppliedState() throws Exception {
-        try (Running plain = new Running(Map.of(), null);
-                Browser browser = new Browser(plain.port).send("GET", "/v1/models", KEY, "")) {
-            assertTrue(browser.head());
-            assertEquals(404, browser.status);
-            assertNull(browser.headers.get("Retry-After"));
+        try (RunningGateway plain = RunningGateway.builder().start();
+                TestClient client = new TestClient(plain.port).send("GET", "/v1/models", KEY, "")) {
+            assertTrue(client.readHead());
+            assertEquals(404, client.status);
+            assertNull(client.headers.get("Retry-After"));
         }
     }
 }
--- a/src/test/java/dunlinladder/it/ConformanceTest.java
+++ b/src/test/java/dunlinladder/it/ConformanceTest.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import dunlinladder.it.StandIn.Browser;
 import java.io.File;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -13,7 +12,6 @@
 import java.util.Arrays;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeSet;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.Timeout;
@@ -54,10 +52,10 @@
                 .listFiles((dir, name) -> name.endsWith(".json") && name.contains("-from-" + engines + "-"));
         Arrays.sort(files);
         StringBuilder faults = new StringBuilder();
-        try (Running running = new Running(Map.of("CHAT_KEY", "secret"), state)) {
+        try (RunningGateway gateway = RunningGateway.builder().chatFront(state).start()) {
             for (File file : files) {
                 JsonNode recorded = JSON.readTree(file);
-                String fault = fault(running, recorded);
+                String fault = fault(gateway, recorded);
                 passed += fault == null ? 1 : 0;
                 failed += fault == null ? 0 : 1;
                 faults.append(fault == null ? "" : file.getName() + ": " + fault + "\n");
@@ -67,23 +65,23 @@
     }
 
     /** What differs first; null where nothing does. */
-    private static String fault(Running running, JsonNode recorded) throws Exception {
+    private static String fault(RunningGateway gateway, JsonNode recorded) throws Exception {
         String request = recorded.get("request").toString();
-        try (Browser browser = new Browser(running.chatPort)) {
+        try (TestClient client = new TestClient(gateway.chatPort)) {
             byte[] body = request.getBytes(StandardCharsets.UTF_8);
-            browser.socket
+            client.socket
                     .getOutputStream()
                     .write(("POST " + recorded.get("path").asText() + " HTTP/1.1\r\n"
                                     + "Host: x\r\nAuthorization: Bearer secret\r\nContent-Length: " + body.length
                                     + "\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            browser.socket.getOutputStream().write(body);
-            if (!browser.head()) {
+            client.socket.getOutputStream().write(body);
+            if (!client.readHead()) {
                 return "no answer";
             }
-            String answer = browser.body();
-            if (browser.status != recorded.get("status").asInt()) {
-                return "status " + browser.status + ": " + answer;
+            String answer = client.readBody();
+            if (client.status != recorded.get("status").asInt()) {
+                return "status " + client.status + ": " + answer;
             }
             return recorded.has("answer")
                     ? differs("", recorded.get("answer"), JSON.readTree(answer))
--- a/src/test/java/dunlinladder/it/CrossingsTest.java
+++ b/src/test/java/dunlinladder/it/CrossingsTest.java
@@ -4,12 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.io.IOException;
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Queue;
 import java.util.Random;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -26,51 +24,52 @@
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CrossingsTest {
 
-    private final String id = Running.freshId();
-    private Running running;
+    private final String id = RunningGateway.nextRequestId();
+    private RunningGateway gateway;
 
     @BeforeEach
     void start() throws Exception {
-        running = new Running(Map.of(), null);
+        gateway = RunningGateway.builder().start();
     }
 
     @AfterEach
     void stop() throws Exception {
-        running.close();
+        gateway.close();
     }
 
-    private int plain(Browser browser, String request) throws IOException {
-        browser.send("POST", "/v1/chat/completions", Running.headers(request, "lookup", "4.0"), "plain");
-        assertTrue(browser.head());
-        browser.body();
-        return browser.status;
+    private int plain(TestClient client, String request) throws IOException {
+        client.send("POST", "/v1/chat/completions", RunningGateway.platformHeaders(request, "lookup", "4.0"), "plain");
+        assertTrue(client.readHead());
+        client.readBody();
+        return client.status;
     }
 
     /** Its end stands behind requests that are not read, and the one that was taken would run on unheard. */
     @ParameterizedTest
     @CsvSource({"0, false", "1, false", "2, false", "50, false", "2000, false", "0, true", "2, true", "50, true"})
     void whoSendsMoreThanOneAndLeavesEndsItsAttempt(int more, boolean reset) throws Exception {
-        try (Browser hasty = running.post(id, "listing", "600.0", "hang-reader")) {
+        try (TestClient hasty = gateway.post(id, "listing", "600.0", "hang-prefill")) {
             for (int i = 0; i < more; i++) {
                 hasty.send(
                         "POST",
                         "/v1/chat/completions",
-                        Running.headers(Running.freshId(), "listing", "600.0"),
+                        RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "listing", "600.0"),
                         "hasty");
             }
-            StandIn.until(() -> running.reader.count("POST", "hang-reader") == 1);
+            Await.until(() -> gateway.prefillEngine.requestCount("POST", "hang-prefill") == 1);
             // Served by the same thread, which has looked at what was sent here by then.
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, ask(running));
+                assertEquals(200, ask(gateway));
             }
             if (reset) {
                 hasty.socket.setSoLinger(true, 0);
             }
         }
         // A read that takes long may have been given up and begun again before: none is out in the end.
-        StandIn.until(() -> running.releases(id) > 0
-                && running.reader.abandoned.size() == running.reader.count("POST", "hang-reader"));
-        assertEquals(0, running.reader.count("POST", "hasty"));
+        Await.until(() -> gateway.releaseCount(id) > 0
+                && gateway.prefillEngine.abandonedRequests.size()
+                        == gateway.prefillEngine.requestCount("POST", "hang-prefill"));
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "hasty"));
     }
 
     /**
@@ -81,30 +80,30 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 60, 520})
     void aRequestThatIsHalfHereAtTheEndIsAnswered(int before) throws Exception {
-        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(id, "lookup", "4.0")
-                + "Content-Length: 400\r\n\r\n" + "x".repeat(400);
-        try (Browser slow = new Browser(running.port);
-                Browser resting = new Browser(running.port);
-                Browser up = new Browser(running.port)) {
-            assertEquals(200, plain(resting, Running.freshId()));
-            running.process.destroy();
+        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+                + RunningGateway.platformHeaders(id, "lookup", "4.0") + "Content-Length: 400\r\n\r\n" + "x".repeat(400);
+        try (TestClient slow = new TestClient(gateway.port);
+                TestClient resting = new TestClient(gateway.port);
+                TestClient up = new TestClient(gateway.port)) {
+            assertEquals(200, plain(resting, RunningGateway.nextRequestId()));
+            gateway.process.destroy();
             do {
                 up.send("GET", "/up", "", "");
-                assertTrue(up.head());
-                up.body();
+                assertTrue(up.readHead());
+                up.readBody();
             } while (up.status == 200);
             slow.socket.getOutputStream().write(request.substring(0, before).getBytes());
-            assertFalse(resting.head(), "a resting connection closes");
-            assertFalse(running.process.waitFor(400, TimeUnit.MILLISECONDS));
+            assertFalse(resting.readHead(), "a resting connection closes");
+            assertFalse(gateway.process.waitFor(400, TimeUnit.MILLISECONDS));
             slow.socket.getOutputStream().write(request.substring(before).getBytes());
-            assertTrue(slow.head());
+            assertTrue(slow.readHead());
             assertEquals(503, slow.status);
             assertEquals("close", slow.headers.get("Connection"));
-            slow.body();
-            assertFalse(slow.head());
+            slow.readBody();
+            assertFalse(slow.readHead());
         }
-        assertEquals(0, running.process.waitFor());
-        assertEquals(0, running.reader.count("POST", "xxx"));
+        assertEquals(0, gateway.process.waitFor());
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "xxx"));
     }
 
     /**
@@ -113,33 +112,33 @@
      */
     @Test
     void aStreamThatEndsAfterTheEndWasToldTakesItsConnectionAlong() throws Exception {
-        List<Browser> streaming = new ArrayList<>();
-        try (Browser resting = new Browser(running.port)) {
-            assertEquals(200, plain(resting, Running.freshId()));
+        List<TestClient> streaming = new ArrayList<>();
+        try (TestClient resting = new TestClient(gateway.port)) {
+            assertEquals(200, plain(resting, RunningGateway.nextRequestId()));
             for (int i = 0; i < 8; i++) {
-                Browser browser = running.post(Running.freshId(), "listing", "9.0", "in steps");
-                streaming.add(browser);
-                assertTrue(browser.head());
+                TestClient client = gateway.post(RunningGateway.nextRequestId(), "listing", "9.0", "in steps");
+                streaming.add(client);
+                assertTrue(client.readHead());
             }
-            running.process.destroy();
-            assertFalse(resting.head(), "a resting connection closes");
-            running.writers.forEach(w -> w.eventsSeen = 20);
-            for (Browser each : streaming) {
-                assertTrue(each.body().endsWith("[DONE]\n\n"));
+            gateway.process.destroy();
+            assertFalse(resting.readHead(), "a resting connection closes");
+            gateway.confirmEvents(20);
+            for (TestClient each : streaming) {
+                assertTrue(each.readBody().endsWith("[DONE]\n\n"));
                 try {
                     each.send(
                             "POST",
                             "/v1/chat/completions",
-                            Running.headers(Running.freshId(), "listing", "9.0"),
+                            RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "listing", "9.0"),
                             "next");
-                    assertFalse(each.head());
+                    assertFalse(each.readHead());
                 } catch (SocketException e) {
                     // A reset is an end too.
                 }
             }
         }
-        assertEquals(0, running.process.waitFor());
-        assertEquals(0, running.reader.count("POST", "next"));
+        assertEquals(0, gateway.process.waitFor());
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "next"));
     }
 
     /**
@@ -149,65 +148,69 @@
     @Test
     void aRequestInTheMomentOfACloseIsAnsweredOrNeverSentOn() throws Exception {
         Random random = new Random(7);
-        List<Thread> clients = new ArrayList<>();
+        List<Thread> clientThreads = new ArrayList<>();
         Queue<String> lost = new ConcurrentLinkedQueue<>();
-        List<Browser> browsers = new ArrayList<>();
+        List<TestClient> testClients = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-            Browser browser = new Browser(running.port);
-            assertEquals(200, plain(browser, Running.freshId()));
-            browsers.add(browser);
+            TestClient client = new TestClient(gateway.port);
+            assertEquals(200, plain(client, RunningGateway.nextRequestId()));
+            testClients.add(client);
         }
-        running.process.destroy();
+        gateway.process.destroy();
         long from = System.nanoTime();
-        for (Browser browser : browsers) {
+        for (TestClient client : testClients) {
             long at = from + (long) ((0.55 + random.nextDouble() * 0.15) * 1e9);
-            String own = Running.freshId();
-            Thread client = new Thread(() -> {
+            String own = RunningGateway.nextRequestId();
+            Thread clientThread = new Thread(() -> {
                 while (System.nanoTime() < at) {
                     Thread.onSpinWait();
                 }
-                try (browser) {
-                    browser.send("POST", "/v1/chat/completions", Running.headers(own, "lookup", "4.0"), "moment");
-                    if (browser.head() && browser.body().endsWith("[DONE]\n\n")) {
+                try (client) {
+                    client.send(
+                            "POST",
+                            "/v1/chat/completions",
+                            RunningGateway.platformHeaders(own, "lookup", "4.0"),
+                            "moment");
+                    if (client.readHead() && client.readBody().endsWith("[DONE]\n\n")) {
                         return;
                     }
                 } catch (IOException e) {
                     // A reset is an end too.
                 }
-                if (running.reader.seen.stream()
+                if (gateway.prefillEngine.receivedRequests.stream()
                         .anyMatch(s -> own.equals(s.headers().get("X-Request-ID")))) {
                     lost.add(own);
                 }
             });
-            client.start();
-            clients.add(client);
+            clientThread.start();
+            clientThreads.add(clientThread);
         }
-        for (Thread client : clients) {
-            client.join();
+        for (Thread each : clientThreads) {
+            each.join();
         }
-        assertEquals(0, running.process.waitFor());
+        assertEquals(0, gateway.process.waitFor());
         assertEquals(List.of(), List.copyOf(lost));
     }
 
     /** No event waits for the next one: each is written once the client has seen the one before. */
     @Test
     void eachEventIsPassedOnBeforeTheNextIsWritten() throws Exception {
-        try (Browser browser = running.post(id, "listing", "9.0", "in steps")) {
-            assertTrue(browser.head());
+        try (TestClient client = gateway.post(id, "listing", "9.0", "in steps")) {
+            assertTrue(client.readHead());
             StringBuilder seen = new StringBuilder();
             for (int i = 1; i < 20; i++) {
-                String event = i == 1 ? StandIn.delta("one", "null") : StandIn.delta("step " + (i - 1), "null");
+                String event = i == 1 ? StubAnswer.delta("one", "null") : StubAnswer.delta("step " + (i - 1), "null");
                 while (!seen.toString().endsWith(event)) {
-                    int next = browser.socket.getInputStream().read();
+                    int next = client.socket.getInputStream().read();
                     assertTrue(next >= 0, "ended after " + seen);
                     seen.append(next == '\r' ? "" : (char) next);
                 }
                 int number = i;
-                running.writers.forEach(w -> w.eventsSeen = number);
+                gateway.confirmEvents(number);
             }
             // The end of the chunk that was read byte by byte.
-            assertEquals("", StandIn.SimulatorCodec.line(browser.socket.getInputStream()));
-            assertTrue(browser.body().endsWith("[DONE]\n\n"));
+            assertEquals("", RawHttp.readLine(client.socket.getInputStream()));
+            assertTrue(client.readBody().endsWith("[DONE]\n\n"));
         }
     }
 
@@ -217,47 +220,48 @@
      */
     @Test
     void descriptorsTakenWhileDiscoveryIsDownCostNobodyElse() throws Exception {
-        List<Browser> idle = new ArrayList<>();
-        try (Running narrow = Running.withDescriptors(256)) {
-            StandIn.until(() -> narrow.discovery.seen.size() == 1);
-            narrow.discovery.silent = true;
-            narrow.discovery.dropConnections();
-            StandIn.until(() -> narrow.discovery.seen.size() >= 2);
+        List<TestClient> idle = new ArrayList<>();
+        try (RunningGateway narrow =
+                RunningGateway.builder().descriptorLimit(256).start()) {
+            Await.until(() -> narrow.discovery.receivedRequests.size() == 1);
+            narrow.discovery.setUnresponsive(true);
+            narrow.discovery.closeConnections();
+            Await.until(() -> narrow.discovery.receivedRequests.size() >= 2);
             for (int i = 0; i < 600; i++) {
-                Browser browser = new Browser(narrow.port);
-                idle.add(browser);
+                TestClient client = new TestClient(narrow.port);
+                idle.add(client);
                 if (i % 3 == 0) {
-                    browser.socket.getOutputStream().write("POST /v1/chat".getBytes());
+                    client.socket.getOutputStream().write("POST /v1/chat".getBytes());
                 }
             }
             assertEquals(200, ask(narrow));
-            narrow.discovery.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
-                    + Running.host(narrow.writers.get(0), "answer", "leaving") + ","
-                    + Running.host(narrow.writers.get(1), "answer", "leaving") + "]}");
-            narrow.discovery.silent = false;
+            narrow.discovery.publish("{\"seq\":2,\"whole\":false,\"hosts\":["
+                    + RunningGateway.endpoint(narrow.decodeEngines.get(0), "answer", "leaving") + ","
+                    + RunningGateway.endpoint(narrow.decodeEngines.get(1), "answer", "leaving") + "]}");
+            narrow.discovery.setUnresponsive(false);
             while (ask(narrow) == 200) {
                 Thread.yield();
             }
-            narrow.discovery.tell("{\"seq\":3,\"whole\":false,\"hosts\":["
-                    + Running.host(narrow.writers.get(0), "answer", "active") + "]}");
+            narrow.discovery.publish("{\"seq\":3,\"whole\":false,\"hosts\":["
+                    + RunningGateway.endpoint(narrow.decodeEngines.get(0), "answer", "active") + "]}");
             while (ask(narrow) != 200) {
                 Thread.yield();
             }
             assertEquals(
                     0,
-                    narrow.lines.stream()
+                    narrow.logLines.stream()
                             .filter(l -> l.contains("Too many open files"))
                             .count());
         } finally {
-            for (Browser each : idle) {
+            for (TestClient each : idle) {
                 each.close();
             }
         }
     }
 
-    private int ask(Running gateway) throws IOException {
-        try (Browser browser = new Browser(gateway.port)) {
-            return plain(browser, Running.freshId());
+    private int ask(RunningGateway gateway) throws IOException {
+        try (TestClient client = new TestClient(gateway.port)) {
+            return plain(client, RunningGateway.nextRequestId());
         }
     }
 }
--- a/src/test/java/dunlinladder/it/DialectTest.java
+++ b/src/test/java/dunlinladder/it/DialectTest.java
@@ -6,12 +6,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dunlinladder.it.StandIn.Browser;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -29,7 +27,7 @@
     @TempDir
     private static Path folder;
 
-    private static Running running;
+    private static RunningGateway gateway;
 
     @BeforeAll
     static void start() throws Exception {
@@ -38,12 +36,12 @@
                 {"serial":1,"settings":{"listen":"127.0.0.1:0","deadlines.listing":"0.8",
                 "keys.CHAT_KEY.tenant":"acme","models.find.class":"lookup",
                 "models.list.class":"listing","unknown_fields":"drop"}}""");
-        running = new Running(Map.of("CHAT_KEY", "secret"), state);
+        gateway = RunningGateway.builder().chatFront(state).start();
     }
 
     @AfterAll
     static void stop() throws Exception {
-        running.close();
+        gateway.close();
     }
 
     private static String body(String path, String model, boolean stream, String text, String more) {
@@ -55,8 +53,8 @@
         return ("{'model':'" + model + "','stream':" + stream + "," + talk + more + "}").replace('\'', '"');
     }
 
-    private static Browser post(String path, String body) throws Exception {
-        return new Browser(running.chatPort)
+    private static TestClient post(String path, String body) throws Exception {
+        return new TestClient(gateway.chatPort)
                 .send(
                         "POST",
                         path,
@@ -82,14 +80,14 @@
         "/v1/messages, /content/0/text, /usage/output_tokens"
     })
     void aWholeAnswerComesInTheClientsFormat(String path, String text, String tokens) throws Exception {
-        try (Browser browser = post(path, body(path, "list", false, "plain " + path, ""))) {
-            assertTrue(browser.head());
-            String answer = browser.body();
-            assertEquals(200, browser.status, answer);
+        try (TestClient client = post(path, body(path, "list", false, "plain " + path, ""))) {
+            assertTrue(client.readHead());
+            String answer = client.readBody();
+            assertEquals(200, client.status, answer);
             assertEquals("one two", JSON.readTree(answer).at(text).asText(), answer);
             assertEquals(2, JSON.readTree(answer).at(tokens).asInt(), answer);
         }
-        StandIn.Seen sent = running.reader.seen.stream()
+        ReceivedRequest sent = gateway.prefillEngine.receivedRequests.stream()
                 .filter(s -> s.body().contains("plain " + path))
                 .findFirst()
                 .orElseThrow();
@@ -103,7 +101,7 @@
                         .path(asked.path("messages").size() - 1)
                         .path("content")
                         .asText());
-        assertEquals(1, running.atWriters("POST", "plain " + path));
+        assertEquals(1, gateway.decodeRequestCount("POST", "plain " + path));
     }
 
     @ParameterizedTest
@@ -113,10 +111,10 @@
         "/v1/messages, /delta/text, message_stop"
     })
     void aStreamComesInTheClientsFormat(String path, String piece, String last) throws Exception {
-        try (Browser browser = post(path, body(path, "find", true, "plain", ""))) {
-            assertTrue(browser.head());
-            assertEquals("text/event-stream", browser.headers.get("content-type"));
-            String stream = browser.body();
+        try (TestClient client = post(path, body(path, "find", true, "plain", ""))) {
+            assertTrue(client.readHead());
+            assertEquals("text/event-stream", client.headers.get("content-type"));
+            String stream = client.readBody();
             List<JsonNode> events = events(stream);
             StringBuilder text = new StringBuilder();
             events.forEach(event -> text.append(event.at(piece).asText("")));
@@ -132,29 +130,29 @@
     /** Every way in which an answer can fail ends in one error of the client's own format. */
     @ParameterizedTest
     @CsvSource({
-        "/v1/responses, list, reset-writer, 502",
-        "/v1/messages, list, reset-writer, 502",
-        "/v1/completions, list, error-writer, 502",
+        "/v1/responses, list, reset-decode, 502",
+        "/v1/messages, list, reset-decode, 502",
+        "/v1/completions, list, error-decode, 502",
         "/v1/messages, list, spoilt opening, 502",
-        "/v1/messages, list, hang-reader, 529",
-        "/v1/responses, list, hang-writer, 504",
+        "/v1/messages, list, hang-prefill, 529",
+        "/v1/responses, list, hang-decode, 504",
         "/v1/responses, list, unclosed, 502",
         "/v1/messages, gone, plain, 404",
-        "/v1/responses, find, error-writer, 429"
+        "/v1/responses, find, error-decode, 429"
     })
     void failuresAreToldInTheClientsFormat(String path, String model, String text, int status) throws Exception {
         String mark = text + " for " + path + status;
-        try (Browser browser = post(path, body(path, model, false, mark, ""))) {
-            assertTrue(browser.head());
-            String answer = browser.body();
-            assertEquals(status, browser.status, answer);
+        try (TestClient client = post(path, body(path, model, false, mark, ""))) {
+            assertTrue(client.readHead());
+            String answer = client.readBody();
+            assertEquals(status, client.status, answer);
             JsonNode error = JSON.readTree(answer);
             assertTrue(error.path("error").path("message").isTextual(), answer);
             assertEquals(path.endsWith("messages"), error.path("type").asText().equals("error"), answer);
-            assertEquals(status == 429 || status == 529, browser.headers.containsKey("Retry-After"));
-            assertEquals(status >= 500 && status < 529 ? "false" : null, browser.headers.get("X-Should-Retry"));
+            assertEquals(status == 429 || status == 529, client.headers.containsKey("Retry-After"));
+            assertEquals(status >= 500 && status < 529 ? "false" : null, client.headers.get("X-Should-Retry"));
         }
-        assertTrue(model.equals("find") || running.atWriters("POST", mark) <= 1);
+        assertTrue(model.equals("find") || gateway.decodeRequestCount("POST", mark) <= 1);
     }
 
     /** What an engine finds at fault in the request itself is told at once, and costs no engine its name. */
@@ -162,19 +160,19 @@
     @CsvSource({"/v1/responses, find", "/v1/messages, list", "/v1/chat/completions, find", "/v1/completions, list"})
     void whatAnEngineRejectsIsToldAtOnce(String path, String model) throws Exception {
         for (int i = 0; i < 5; i++) {
-            String mark = "reject-writer " + path + i;
-            try (Browser browser = post(path, body(path, model, false, mark, ""))) {
-                assertTrue(browser.head());
-                String answer = browser.body();
-                assertEquals(400, browser.status, answer);
+            String mark = "reject-decode " + path + i;
+            try (TestClient client = post(path, body(path, model, false, mark, ""))) {
+                assertTrue(client.readHead());
+                String answer = client.readBody();
+                assertEquals(400, client.status, answer);
                 assertEquals(
                         "too long", JSON.readTree(answer).at("/error/message").asText(), answer);
             }
-            assertEquals(1, running.atWriters("POST", mark));
+            assertEquals(1, gateway.decodeRequestCount("POST", mark));
         }
-        try (Browser browser = post(path, body(path, model, false, "plain after", ""))) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status, browser.body());
+        try (TestClient client = post(path, body(path, model, false, "plain after", ""))) {
+            assertTrue(client.readHead());
+            assertEquals(200, client.status, client.readBody());
         }
     }
 
@@ -182,10 +180,10 @@
     @ParameterizedTest
     @CsvSource({"/v1/responses, response.failed", "/v1/messages, error", "/v1/completions, ''"})
     void aBrokenStreamEndsWithOneFailure(String path, String type) throws Exception {
-        try (Browser browser = post(path, body(path, "list", true, "spoilt size " + path, ""))) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
-            String stream = browser.body();
+        try (TestClient client = post(path, body(path, "list", true, "spoilt size " + path, ""))) {
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
+            String stream = client.readBody();
             List<JsonNode> events = events(stream);
             assertEquals(type, events.get(events.size() - 1).path("type").asText(), stream);
             assertTrue(stream.contains("broke off"), stream);
@@ -195,39 +193,39 @@
                             || stream.contains("response.completed"),
                     stream);
         }
-        assertEquals(1, running.atWriters("POST", "spoilt size " + path));
+        assertEquals(1, gateway.decodeRequestCount("POST", "spoilt size " + path));
     }
 
     @Test
     void whatIsLeftOutIsSaidAndWhatCannotBeSaidIsRefused() throws Exception {
-        try (Browser browser =
+        try (TestClient client =
                 post("/v1/messages", body("/v1/messages", "find", false, "plain", ",'top_k':3,'novel':1"))) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
-            String warnings = browser.headers.get("X-Translation-Warnings");
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
+            String warnings = client.headers.get("X-Translation-Warnings");
             assertTrue(warnings.contains("top_k") && warnings.contains("novel"), warnings);
-            browser.body();
+            client.readBody();
         }
-        try (Browser browser = post(
+        try (TestClient client = post(
                 "/v1/responses",
                 body("/v1/responses", "find", false, "refused at once", ",'previous_response_id':'r'"))) {
-            assertTrue(browser.head());
-            assertEquals(400, browser.status);
+            assertTrue(client.readHead());
+            assertEquals(400, client.status);
             assertEquals(
                     "previous_response_id",
-                    JSON.readTree(browser.body()).at("/error/param").asText());
+                    JSON.readTree(client.readBody()).at("/error/param").asText());
         }
-        assertEquals(0, running.reader.count("POST", "refused at once"));
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "refused at once"));
     }
 
     @ParameterizedTest
     @CsvSource({"/v1/models/find, 200", "/v1/models/none, 404"})
     void aModelIsDescribed(String path, int status) throws Exception {
-        try (Browser browser =
-                new Browser(running.chatPort).send("GET", path, "Authorization: Bearer secret\r\n", "")) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            assertTrue(browser.body().contains(status == 200 ? "\"id\":\"find\"" : "model_not_found"));
+        try (TestClient client =
+                new TestClient(gateway.chatPort).send("GET", path, "Authorization: Bearer secret\r\n", "")) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            assertTrue(client.readBody().contains(status == 200 ? "\"id\":\"find\"" : "model_not_found"));
         }
     }
 }
--- a/src/test/java/dunlinladder/it/NewServersTest.java
+++ b/src/test/java/dunlinladder/it/NewServersTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -34,24 +33,27 @@
     @TempDir
     private Path folder;
 
-    private Running running;
+    private RunningGateway gateway;
 
-    private void start(String settings, Map<StandIn, String> more) throws Exception {
+    private void start(String settings, Map<StubServer, String> more) throws Exception {
         Path state = folder.resolve("applied.json");
         Files.writeString(state, COMMON + settings + "}}");
-        running = new Running(Map.of("CHAT_KEY", "secret"), state, more);
+        gateway = RunningGateway.builder()
+                .chatFront(state)
+                .additionalEngines(more)
+                .start();
     }
 
     @AfterEach
     void stop() throws Exception {
-        running.close();
+        gateway.close();
     }
 
-    private Browser post(String path, String model, boolean stream, String text) throws Exception {
+    private TestClient post(String path, String model, boolean stream, String text) throws Exception {
         String talk = path.equals("/v1/completions")
                 ? "\"prompt\":\"" + text + "\""
                 : "\"max_tokens\":50,\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]";
-        return new Browser(running.chatPort)
+        return new TestClient(gateway.chatPort)
                 .send(
                         "POST",
                         path,
@@ -64,28 +66,28 @@
     void oldClientsReachNewServers(String path) throws Exception {
         start("\"generations.new.format\":\"responses\"", Map.of());
         for (String model : List.of("find", "list")) {
-            try (Browser browser = post(path, model, false, "whole " + model)) {
-                assertTrue(browser.head());
-                String body = browser.body();
-                assertEquals(200, browser.status, body);
+            try (TestClient client = post(path, model, false, "whole " + model)) {
+                assertTrue(client.readHead());
+                String body = client.readBody();
+                assertEquals(200, client.status, body);
                 assertTrue(body.contains(TEXT), body);
             }
         }
-        assertTrue(running.reader.seen.stream()
+        assertTrue(gateway.prefillEngine.receivedRequests.stream()
                 .allMatch(s -> s.target().equals("/v1/responses") || s.method().equals("DELETE")));
         // A fault at each event of the answer: whatever the client has by then, it never gets a good end.
         for (int kept = 0; kept < 12; kept++) {
-            try (Browser browser = post(path, "list", true, "broken after " + kept + " events")) {
-                assertTrue(browser.head());
-                String body = browser.body();
+            try (TestClient client = post(path, "list", true, "broken after " + kept + " events")) {
+                assertTrue(client.readHead());
+                String body = client.readBody();
                 assertFalse(body.contains("[DONE]") || body.contains("message_stop"), kept + ": " + body);
-                assertTrue(browser.status == 502 || body.contains("error"), kept + ": " + body);
+                assertTrue(client.status == 502 || body.contains("error"), kept + ": " + body);
             }
-            assertEquals(1, running.atWriters("POST", "broken after " + kept + " events"));
+            assertEquals(1, gateway.decodeRequestCount("POST", "broken after " + kept + " events"));
         }
-        try (Browser browser = post(path, "list", true, "failing")) {
-            assertTrue(browser.head());
-            String body = browser.body();
+        try (TestClient client = post(path, "list", true, "failing")) {
+            assertTrue(client.readHead());
+            String body = client.readBody();
             assertTrue(body.contains("error") && !body.contains("inner host"), body);
         }
     }
@@ -94,24 +96,24 @@
     @Test
     void engineThatDoesNotSpeakItsGenerationsFormatIsLeftOut() throws Exception {
         start("\"generations.new.format\":\"responses\"", Map.of());
-        running.writers.get(0).speaks = "/v1/chat/";
+        gateway.decodeEngines.get(0).knownPathPrefix = "/v1/chat/";
         for (int i = 0; i < 30; i++) {
-            try (Browser browser = post("/v1/chat/completions", "find", false, "search " + i)) {
-                assertTrue(browser.head());
-                String body = browser.body();
-                assertEquals(200, browser.status, body);
+            try (TestClient client = post("/v1/chat/completions", "find", false, "search " + i)) {
+                assertTrue(client.readHead());
+                String body = client.readBody();
+                assertEquals(200, client.status, body);
             }
         }
-        long wasted = running.writers.get(0).count("POST", "search");
+        long wasted = gateway.decodeEngines.get(0).requestCount("POST", "search");
         assertTrue(wasted <= 3, "sent " + wasted + " times to an engine that does not know the format");
         for (int i = 0; i < 10; i++) {
-            try (Browser browser = post("/v1/chat/completions", "list", false, "offer " + i)) {
-                assertTrue(browser.head());
-                assertEquals(200, browser.status);
-                browser.body();
+            try (TestClient client = post("/v1/chat/completions", "list", false, "offer " + i)) {
+                assertTrue(client.readHead());
+                assertEquals(200, client.status);
+                client.readBody();
             }
         }
-        assertEquals(0, running.writers.get(0).count("POST", "offer"));
+        assertEquals(0, gateway.decodeEngines.get(0).requestCount("POST", "offer"));
     }
 
     /**
@@ -120,8 +122,13 @@
      */
     @Test
     void aMoveUnderLoadKeepsTheRules() throws Exception {
-        Map<StandIn, String> more = Map.of(
-                new StandIn("reader"), "prompt", new StandIn("writer"), "answer", new StandIn("writer"), "answer");
+        Map<StubServer, String> more = Map.of(
+                new StubServer(StubServer.Role.PREFILL),
+                "prompt",
+                new StubServer(StubServer.Role.DECODE),
+                "answer",
+                new StubServer(StubServer.Role.DECODE),
+                "answer");
         start("""
                 "generations.old.format":"chat","generations.new.format":"responses",
                 "generations.new.ids":"none","move.from":"old","move.to":"new","move.ramp_seconds":"0.1",
@@ -135,23 +142,23 @@
         try {
             int sent = 0;
             int least = Integer.getInteger("dunlinladder.requests", 240);
-            List<StandIn> writers = more.entrySet().stream()
+            List<StubServer> writers = more.entrySet().stream()
                     .filter(e -> e.getValue().equals("answer"))
                     .map(Map.Entry::getKey)
                     .toList();
-            while (sent < least || running.lines.stream().noneMatch(line -> line.contains("state=DONE"))) {
-                String text = "n" + sent + (sent % 9 == 0 ? " reset-writer" : sent % 7 == 0 ? " busy-writer" : " .");
+            while (sent < least || !gateway.hasLogged("state=DONE")) {
+                String text = "n" + sent + (sent % 9 == 0 ? " reset-decode" : sent % 7 == 0 ? " busy-decode" : " .");
                 String path = paths[sent % 3];
                 String model = sent % 2 == 0 ? "list" : "find";
                 boolean stream = sent % 5 == 0;
                 outcomes.add(pool.submit(() -> {
-                    try (Browser browser = post(path, model, stream, text)) {
-                        return browser.head() && !browser.body().endsWith("(cut)") ? browser.status : 0;
+                    try (TestClient client = post(path, model, stream, text)) {
+                        return client.readHead() && !client.readBody().endsWith("(cut)") ? client.status : 0;
                     }
                 }));
                 if (++sent % 12 == 0) {
                     if (sent % 60 == 0) {
-                        writers.get(sent / 60 % writers.size()).dropConnections();
+                        writers.get(sent / 60 % writers.size()).closeConnections();
                     }
                     for (Future<Integer> each : outcomes.subList(sent - 12, sent)) {
                         each.get();
@@ -162,43 +169,43 @@
                 int status = outcomes.get(i).get();
                 assertTrue(List.of(200, 429, 502, 529).contains(status), "request " + i + ": " + status);
             }
-            List<StandIn> engines = new ArrayList<>(more.keySet());
-            engines.addAll(running.writers);
+            List<StubServer> engines = new ArrayList<>(more.keySet());
+            engines.addAll(gateway.decodeEngines);
             for (int i = 0; i < sent; i += 2) {
                 String mark = "n" + i + " ";
                 long ran = engines.stream()
-                        .flatMap(e -> e.seen.stream())
-                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-writer"))
+                        .flatMap(e -> e.receivedRequests.stream())
+                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-decode"))
                         .count();
                 // Reads of the further reader are no runs; each engine is counted for what it is.
                 long reads = more.entrySet().stream()
                         .filter(e -> e.getValue().equals("prompt"))
-                        .flatMap(e -> e.getKey().seen.stream())
-                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-writer"))
+                        .flatMap(e -> e.getKey().receivedRequests.stream())
+                        .filter(s -> s.body().contains(mark) && !s.body().contains("busy-decode"))
                         .count();
                 assertTrue(ran - reads <= 1, "listing " + i + " ran " + (ran - reads) + " times");
             }
             List<String> targets = engines.stream()
-                    .flatMap(e -> e.seen.stream())
-                    .map(StandIn.Seen::target)
+                    .flatMap(e -> e.receivedRequests.stream())
+                    .map(ReceivedRequest::target)
                     .distinct()
                     .toList();
             assertTrue(targets.contains("/v1/responses") && targets.contains("/v1/chat/completions"));
             // The move is over: nothing goes out in the old format any more.
             long old = engines.stream()
-                    .flatMap(e -> e.seen.stream())
+                    .flatMap(e -> e.receivedRequests.stream())
                     .filter(s -> s.target().equals("/v1/chat/completions"))
                     .count();
             for (int i = 0; i < 10; i++) {
-                try (Browser browser = post("/v1/chat/completions", "find", false, "after all")) {
-                    assertTrue(browser.head());
-                    browser.body();
+                try (TestClient client = post("/v1/chat/completions", "find", false, "after all")) {
+                    assertTrue(client.readHead());
+                    client.readBody();
                 }
             }
             assertEquals(
                     old,
                     engines.stream()
-                            .flatMap(e -> e.seen.stream())
+                            .flatMap(e -> e.receivedRequests.stream())
                             .filter(s -> s.target().equals("/v1/chat/completions"))
                             .count());
         } finally {
--- /dev/null
+++ b/src/test/java/dunlinladder/it/RawHttp.java
@@ -0,0 +1,74 @@
+package dunlinladder.it;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** HTTP/1.1 read and written without a library, so that a test controls every byte. */
+final class RawHttp {
+
+    private static final int HEX = 16;
+
+    private RawHttp() {}
+
+    /** Reads a line without its terminator; null at the end of the connection. */
+    static String readLine(InputStream in) throws IOException {
+        StringBuilder line = new StringBuilder();
+        for (int next = in.read(); next != '\n'; next = in.read()) {
+            if (next < 0) {
+                return null;
+            }
+            line.append(next == '\r' ? "" : (char) next);
+        }
+        return line.toString();
+    }
+
+    /** Reads header fields up to the empty line; names compare without regard to case. */
+    static Map<String, String> readHeaders(InputStream in) throws IOException {
+        Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+        for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
+            int colon = line.indexOf(':');
+            headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
+        }
+        return headers;
+    }
+
+    /** Reads a body of the length that the headers state, or none. */
+    static String readSizedBody(InputStream in, Map<String, String> headers) throws IOException {
+        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+        return new String(in.readNBytes(length), StandardCharsets.UTF_8);
+    }
+
+    /** Reads a chunked body; ends with "(cut)" when the connection ended before the last chunk. */
+    static String readChunkedBody(InputStream in) throws IOException {
+        StringBuilder body = new StringBuilder();
+        for (String size = readLine(in); size != null; size = readLine(in)) {
+            body.append(new String(in.readNBytes(Integer.parseInt(size, HEX)), StandardCharsets.UTF_8));
+            readLine(in);
+            if (size.equals("0")) {
+                return body.toString();
+            }
+        }
+        return body + "(cut)";
+    }
+
+    /** Writes the text as it is. */
+    static void write(OutputStream out, String text) throws IOException {
+        out.write(text.getBytes(StandardCharsets.UTF_8));
+        out.flush();
+    }
+
+    /** Writes one chunk of a chunked body. */
+    static void writeChunk(OutputStream out, String text) throws IOException {
+        int length = text.getBytes(StandardCharsets.UTF_8).length;
+        write(out, Integer.toHexString(length) + "\r\n" + text + "\r\n");
+    }
+
+    /** Writes the end of a chunked body. */
+    static void writeLastChunk(OutputStream out) throws IOException {
+        write(out, "0\r\n\r\n");
+    }
+}
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -5,12 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.io.OutputStream;
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -23,31 +21,31 @@
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RulesTest {
 
-    private final String id = Running.freshId();
-    private Running running;
+    private final String id = RunningGateway.nextRequestId();
+    private RunningGateway gateway;
 
     @BeforeEach
     void start() throws Exception {
-        running = new Running(Map.of(), null);
+        gateway = RunningGateway.builder().start();
     }
 
     @AfterEach
     void stop() throws Exception {
-        running.close();
+        gateway.close();
     }
 
     @Test
     void requestAndStreamPassUnchanged() throws Exception {
-        try (Browser browser = running.post(id, "lookup", "4.000", "{\"odd\" : 1}")) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
+        try (TestClient client = gateway.post(id, "lookup", "4.000", "{\"odd\" : 1}")) {
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
             assertEquals(
-                    StandIn.delta("one", "null") + StandIn.delta(" two", "\"stop\"")
+                    StubAnswer.delta("one", "null") + StubAnswer.delta(" two", "\"stop\"")
                             + "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
                             + "data: [DONE]\n\n",
-                    browser.body());
+                    client.readBody());
         }
-        StandIn.Seen read = running.reader.seen.get(0);
+        ReceivedRequest read = gateway.prefillEngine.receivedRequests.get(0);
         assertEquals(
                 "POST /v1/chat/completions?trace=1 {\"odd\" : 1}",
                 read.method() + " " + read.target() + " " + read.body());
@@ -55,98 +53,94 @@
         double left = Double.parseDouble(read.headers().get("X-Timeout"));
         // The client must have its answer before it gives up, so the attempt ends a little sooner.
         assertTrue(left > 0 && left <= 3.96, "X-Timeout " + left);
-        assertEquals(1, running.atWriters("POST", "odd"));
+        assertEquals(1, gateway.decodeRequestCount("POST", "odd"));
     }
 
     @ParameterizedTest
     @CsvSource({
-        "listing, reset-writer, 502, 1",
-        "listing, error-writer, 502, 1",
-        "listing, busy-writer, 200, 3",
-        "listing, noise-writer, 502, 1",
-        "listing, endless-writer, 502, 1",
+        "listing, reset-decode, 502, 1",
+        "listing, error-decode, 502, 1",
+        "listing, busy-decode, 200, 3",
+        "listing, noise-decode, 502, 1",
+        "listing, endless-decode, 502, 1",
         "listing, spoilt opening, 502, 1",
-        "lookup, noise-writer, 503, 3",
-        "lookup, reset-writer, 503, 3",
-        "lookup, error-writer, 503, 3",
-        "listing, reset-reader, 503, 0"
+        "lookup, noise-decode, 503, 3",
+        "lookup, reset-decode, 503, 3",
+        "lookup, error-decode, 503, 3",
+        "listing, reset-prefill, 503, 0"
     })
     void onlyWhatNeverRanOrMayRepeatIsSentAgain(String type, String what, int status, int atWriters) throws Exception {
-        try (Browser browser = running.post(id, type, "5.0", what)) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            assertEquals(status == 503, browser.headers.containsKey("Retry-After"));
-            browser.body();
-            assertEquals(atWriters, running.atWriters("POST", what));
+        try (TestClient client = gateway.post(id, type, "5.0", what)) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            assertEquals(status == 503, client.headers.containsKey("Retry-After"));
+            client.readBody();
+            assertEquals(atWriters, gateway.decodeRequestCount("POST", what));
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"hang-reader, listing, 503", "hang-writer, listing, 504", "hang-writer, lookup, 503"})
+    @CsvSource({"hang-prefill, listing, 503", "hang-decode, listing, 504", "hang-decode, lookup, 503"})
     void silenceIsAnsweredAtTheDeadline(String what, String type, int status) throws Exception {
-        try (Browser browser = running.post(id, type, "0.6", what)) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
+        try (TestClient client = gateway.post(id, type, "0.6", what)) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
         }
-        StandIn.until(() -> running.reader.abandoned.size()
-                        + running.writers.stream()
-                                .mapToInt(w -> w.abandoned.size())
-                                .sum()
-                > 0);
-        StandIn.until(() -> running.releases(id) > 0);
+        Await.until(() -> gateway.abandonedAttemptCount() > 0);
+        Await.until(() -> gateway.releaseCount(id) > 0);
     }
 
     @Test
     void brokenStreamEndsWithoutTheLastChunk() throws Exception {
-        try (Browser browser = running.post(id, "listing", "5.0", "cut later")) {
-            assertTrue(browser.head());
-            running.writers.forEach(w -> w.firstSeen = true);
-            String body = browser.body();
-            assertTrue(body.startsWith(StandIn.delta("one", "null")) && body.endsWith("(cut)"), body);
+        try (TestClient client = gateway.post(id, "listing", "5.0", "cut later")) {
+            assertTrue(client.readHead());
+            gateway.confirmFirstEvent();
+            String body = client.readBody();
+            assertTrue(body.startsWith(StubAnswer.delta("one", "null")) && body.endsWith("(cut)"), body);
         }
-        assertEquals(1, running.atWriters("POST", "cut"));
+        assertEquals(1, gateway.decodeRequestCount("POST", "cut"));
     }
 
     /** Who asks for the rest of a broken stream is served anew, also where a request must not run twice. */
     @ParameterizedTest
     @ValueSource(strings = {"lookup", "listing"})
     void aClientComesAgainForTheRest(String type) throws Exception {
-        try (Browser browser = running.post(id, type, "5.0", "cut later")) {
-            assertTrue(browser.head());
-            running.writers.forEach(w -> w.firstSeen = true);
-            assertTrue(browser.body().endsWith("(cut)"));
+        try (TestClient client = gateway.post(id, type, "5.0", "cut later")) {
+            assertTrue(client.readHead());
+            gateway.confirmFirstEvent();
+            assertTrue(client.readBody().endsWith("(cut)"));
         }
-        String again = Running.freshId();
-        try (Browser browser = new Browser(running.port)
+        String again = RunningGateway.nextRequestId();
+        try (TestClient client = new TestClient(gateway.port)
                 .send(
                         "POST",
                         "/v1/chat/completions",
-                        Running.headers(again, type, "5.0") + "X-Retried: again\r\n",
+                        RunningGateway.platformHeaders(again, type, "5.0") + "X-Retried: again\r\n",
                         "the rest")) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
-            assertTrue(browser.body().endsWith("data: [DONE]\n\n"));
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
+            assertTrue(client.readBody().endsWith("data: [DONE]\n\n"));
         }
         assertEquals(
                 List.of(again),
-                running.reader.seen.stream()
+                gateway.prefillEngine.receivedRequests.stream()
                         .filter(s -> s.body().equals("the rest"))
                         .map(s -> s.headers().get("X-Request-ID"))
                         .toList());
-        assertEquals(1, running.atWriters("POST", "the rest"));
+        assertEquals(1, gateway.decodeRequestCount("POST", "the rest"));
     }
 
     /** A stream spoilt after its first event ends its client's connection long before any deadline. */
     @ParameterizedTest
     @ValueSource(strings = {"spoilt size", "spoilt huge", "spoilt fit", "spoilt silence"})
     void spoiltStreamEndsWithoutTheLastChunk(String what) throws Exception {
-        try (Browser browser = running.post(id, "listing", "600.0", what)) {
-            assertTrue(browser.head());
-            String body = browser.body();
-            assertTrue(body.startsWith(StandIn.delta("one", "null")) && body.endsWith("(cut)"), body);
+        try (TestClient client = gateway.post(id, "listing", "600.0", what)) {
+            assertTrue(client.readHead());
+            String body = client.readBody();
+            assertTrue(body.startsWith(StubAnswer.delta("one", "null")) && body.endsWith("(cut)"), body);
         }
-        StandIn.until(() -> running.writers.stream().anyMatch(w -> w.abandoned.contains(what)));
-        assertEquals(1, running.atWriters("POST", what));
+        Await.until(() -> gateway.decodeEngines.stream().anyMatch(w -> w.abandonedRequests.contains(what)));
+        assertEquals(1, gateway.decodeRequestCount("POST", what));
     }
 
     /** Engines that end kept connections under the next request cost one request, not each. */
@@ -154,10 +148,10 @@
     void keptConnectionsThatBreakAreNotTrusted() throws Exception {
         int failed = 0;
         for (int i = 0; i < 20; i++) {
-            try (Browser browser = running.post(Running.freshId(), "listing", "9.0", "stale")) {
-                assertTrue(browser.head());
-                failed += browser.status == 200 ? 0 : 1;
-                browser.body();
+            try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "listing", "9.0", "stale")) {
+                assertTrue(client.readHead());
+                failed += client.status == 200 ? 0 : 1;
+                client.readBody();
             }
         }
         assertTrue(failed <= 1, failed + " of 20 failed");
@@ -166,114 +160,111 @@
     @Test
     void whatComesBesideAnAnswerMeetsNoOther() throws Exception {
         for (int i = 0; i < 20; i++) {
-            try (Browser browser = running.post(Running.freshId(), "lookup", "4.0", "interim twice")) {
-                assertTrue(browser.head());
-                assertEquals(200, browser.status);
-                String body = browser.body();
+            try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "interim twice")) {
+                assertTrue(client.readHead());
+                assertEquals(200, client.status);
+                String body = client.readBody();
                 assertTrue(body.endsWith("[DONE]\n\n") && !body.contains("\"stale\""), body);
             }
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"pause", "hang-writer", "hang-reader"})
+    @CsvSource({"pause", "hang-decode", "hang-prefill"})
     void clientThatLeavesEndsItsAttemptAndWhatIsHeld(String what) throws Exception {
-        try (Browser browser = running.post(id, "listing", "9.0", what)) {
-            StandIn.until(() -> running.reader.count("POST", what) > 0
-                    && (what.equals("hang-reader") || running.atWriters("POST", what) > 0));
-            assertTrue(what.startsWith("hang") || browser.head());
+        try (TestClient client = gateway.post(id, "listing", "9.0", what)) {
+            Await.until(() -> gateway.prefillEngine.requestCount("POST", what) > 0
+                    && (what.equals("hang-prefill") || gateway.decodeRequestCount("POST", what) > 0));
+            assertTrue(what.startsWith("hang") || client.readHead());
         }
-        StandIn.until(() -> running.reader.abandoned.size()
-                        + running.writers.stream()
-                                .mapToInt(w -> w.abandoned.size())
-                                .sum()
-                == 1);
-        StandIn.until(() -> running.releases(id) > 0);
+        Await.until(() -> gateway.abandonedAttemptCount() == 1);
+        Await.until(() -> gateway.releaseCount(id) > 0);
     }
 
     @Test
     void drainedEngineGetsNothingNewAndWatchComesBack() throws Exception {
-        StandIn.until(() -> running.discovery.seen.size() == 1);
-        running.discovery.dropConnections();
+        Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
+        gateway.discovery.closeConnections();
         assertEquals(200, plain());
-        StandIn leaving = running.writers.get(running.writers.get(0).seen.isEmpty() ? 1 : 0);
+        StubServer leaving = gateway.decodeEngines.get(
+                gateway.decodeEngines.get(0).receivedRequests.isEmpty() ? 1 : 0);
         // Lists may come indented.
-        running.discovery.tell(
-                ("{\"seq\":2,\"whole\":false,\"hosts\":[" + Running.host(leaving, "answer", "leaving") + "]}")
-                        .replace(",", ",\n  "));
+        gateway.discovery.publish(("{\"seq\":2,\"whole\":false,\"hosts\":["
+                        + RunningGateway.endpoint(leaving, "answer", "leaving") + "]}")
+                .replace(",", ",\n  "));
         // The other writer may be picked before the news is in; without it too, the news shows for certain.
-        StandIn other = running.writers.get(1 - running.writers.indexOf(leaving));
+        StubServer other = gateway.decodeEngines.get(1 - gateway.decodeEngines.indexOf(leaving));
         for (String health : new String[] {"leaving", "active"}) {
-            running.discovery.tell("{\"seq\":" + (health.equals("leaving") ? 3 : 4)
+            gateway.discovery.publish("{\"seq\":" + (health.equals("leaving") ? 3 : 4)
                     + ",\"whole\":false,\"hosts\":["
-                    + Running.host(other, "answer", health) + "]}");
+                    + RunningGateway.endpoint(other, "answer", health) + "]}");
             while (plain() == 200 != health.equals("active")) {
                 Thread.onSpinWait();
             }
         }
-        long before = leaving.count("POST", "plain");
+        long before = leaving.requestCount("POST", "plain");
         for (int i = 0; i < 20; i++) {
             assertEquals(200, plain());
         }
-        assertEquals(before, leaving.count("POST", "plain"));
+        assertEquals(before, leaving.requestCount("POST", "plain"));
     }
 
     /** A stream runs on, the old address is left at once, and a file with faults changes nothing. */
     @Test
     void hangupPointsTheWatchAtTheFilesDiscovery() throws Exception {
-        StandIn.until(() -> running.discovery.seen.size() == 1);
-        try (Browser streaming = running.post(id, "listing", "9.0", "cut later");
-                StandIn next = new StandIn("discovery")) {
-            assertTrue(streaming.head());
-            running.configure(next.address(), "{\"classes\":7}");
-            running.signal("HUP");
-            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("event=configuration_rejected")));
-            assertEquals(0, next.seen.size());
-            running.configure(next.address(), Running.SETTINGS);
-            running.signal("HUP");
-            StandIn.until(() -> next.seen.size() == 1);
-            StandIn.until(() -> running.lines.stream().anyMatch(line -> line.contains("event=configuration_reloaded")));
-            next.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
-                    + Running.host(running.writers.get(0), "answer", "leaving") + ","
-                    + Running.host(running.writers.get(1), "answer", "leaving") + "]}");
+        Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
+        try (TestClient streaming = gateway.post(id, "listing", "9.0", "cut later");
+                StubServer next = new StubServer(StubServer.Role.DISCOVERY)) {
+            assertTrue(streaming.readHead());
+            gateway.configure(next.address(), "{\"classes\":7}");
+            gateway.signal("HUP");
+            Await.until(() -> gateway.hasLogged("event=configuration_rejected"));
+            assertEquals(0, next.receivedRequests.size());
+            gateway.configure(next.address(), RunningGateway.SETTINGS);
+            gateway.signal("HUP");
+            Await.until(() -> next.receivedRequests.size() == 1);
+            Await.until(() -> gateway.hasLogged("event=configuration_reloaded"));
+            next.publish("{\"seq\":2,\"whole\":false,\"hosts\":["
+                    + RunningGateway.endpoint(gateway.decodeEngines.get(0), "answer", "leaving") + ","
+                    + RunningGateway.endpoint(gateway.decodeEngines.get(1), "answer", "leaving") + "]}");
             while (plain() == 200) {
                 Thread.yield();
             }
-            running.writers.forEach(w -> w.firstSeen = true);
-            assertTrue(streaming.body().startsWith(StandIn.delta("one", "null")));
-            assertEquals(1, running.discovery.seen.size());
+            gateway.confirmFirstEvent();
+            assertTrue(streaming.readBody().startsWith(StubAnswer.delta("one", "null")));
+            assertEquals(1, gateway.discovery.receivedRequests.size());
         }
     }
 
     /** Under nohup a JVM hears no SIGHUP: discovery that is lost is sought where the file says now. */
     @Test
     void lostDiscoveryIsSoughtWhereTheFileSays() throws Exception {
-        StandIn.until(() -> running.discovery.seen.size() == 1);
-        try (StandIn next = new StandIn("discovery")) {
-            running.configure(next.address(), Running.SETTINGS);
-            running.discovery.close();
-            running.discovery.dropConnections();
-            StandIn.until(() -> next.seen.size() == 1);
+        Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
+        try (StubServer next = new StubServer(StubServer.Role.DISCOVERY)) {
+            gateway.configure(next.address(), RunningGateway.SETTINGS);
+            gateway.discovery.close();
+            gateway.discovery.closeConnections();
+            Await.until(() -> next.receivedRequests.size() == 1);
         }
     }
 
     private int plain() throws Exception {
-        try (Browser browser = running.post(Running.freshId(), "lookup", "4.0", "plain")) {
-            assertTrue(browser.head());
-            browser.body();
-            return browser.status;
+        try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "plain")) {
+            assertTrue(client.readHead());
+            client.readBody();
+            return client.status;
         }
     }
 
     @Test
     void slowClientHoldsTheStreamBackAndGetsAllOfIt() throws Exception {
-        try (Browser slow = running.post(id, "listing", "9.0", "long")) {
-            assertTrue(slow.head());
-            try (Browser other = running.post(Running.freshId(), "lookup", "4.0", "plain")) {
-                assertTrue(other.head());
+        try (TestClient slow = gateway.post(id, "listing", "9.0", "long")) {
+            assertTrue(slow.readHead());
+            try (TestClient other = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "plain")) {
+                assertTrue(other.readHead());
                 assertEquals(200, other.status);
             }
-            String body = slow.body();
+            String body = slow.readBody();
             assertEquals(400, body.split("x{8000}", -1).length - 1);
             assertFalse(body.endsWith("(cut)"));
         }
@@ -293,12 +284,12 @@
     void whatIsNotARequestTouchesNoEngine(String method, String target, String type, String timeout, int status)
             throws Exception {
         String body = status == 413 ? "x".repeat(256 * 1024 + 1) : "{}";
-        try (Browser browser =
-                new Browser(running.port).send(method, target, Running.headers(id, type, timeout), body)) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
+        try (TestClient client = new TestClient(gateway.port)
+                .send(method, target, RunningGateway.platformHeaders(id, type, timeout), body)) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
         }
-        assertEquals(0, running.reader.seen.size() + running.atWriters("POST", ""));
+        assertEquals(0, gateway.prefillEngine.receivedRequests.size() + gateway.decodeRequestCount("POST", ""));
     }
 
     /** Each ends in an error or a close, and what stands behind or within is neither served nor sent on. */
@@ -319,19 +310,21 @@
     @SuppressWarnings("try") // A good request stays open beside the bad one and is not looked at.
     void whatCannotBeReadEndsItsConnection(String rest) throws Exception {
         String hidden = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-                + Running.headers(Running.freshId(), "lookup", "4.0") + "Content-Length: 6\r\n\r\nhidden";
-        try (Browser bad = new Browser(running.port);
-                Browser good = running.post(id, "lookup", "4.0", "{}")) {
+                + RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "lookup", "4.0")
+                + "Content-Length: 6\r\n\r\nhidden";
+        try (TestClient bad = new TestClient(gateway.port);
+                TestClient good = gateway.post(id, "lookup", "4.0", "{}")) {
             OutputStream out = bad.socket.getOutputStream();
             out.write(("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-                            + Running.headers(Running.freshId(), "lookup", "4.0") + rest.replace("|", "\r\n"))
+                            + RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "lookup", "4.0")
+                            + rest.replace("|", "\r\n"))
                     .getBytes());
             // What can be read whole has the hidden request behind it, an endless head goes on and on.
             String more = rest.contains("||") ? hidden : "x".repeat(40_000);
             if (!rest.contains("half") && !rest.isEmpty() && !rest.equals("A|")) {
                 out.write(more.getBytes());
             }
-            assertTrue(!bad.head() || bad.status >= 400, "status " + bad.status);
+            assertTrue(!bad.readHead() || bad.status >= 400, "status " + bad.status);
             while (bad.socket.getInputStream().read() >= 0) {
                 Thread.onSpinWait();
             }
@@ -339,84 +332,90 @@
             // A reset is an end too.
         }
         assertEquals(200, plain());
-        assertEquals(0, running.reader.count("POST", "hidden") + running.reader.count("POST", "half"));
+        assertEquals(
+                0,
+                gateway.prefillEngine.requestCount("POST", "hidden")
+                        + gateway.prefillEngine.requestCount("POST", "half"));
     }
 
     /** Clients that connect and say nothing make room for those that ask, and are closed in the end. */
     @Test
     void silentConnectionsMakeRoom() throws Exception {
-        List<Browser> silent = new ArrayList<>();
+        List<TestClient> silent = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            silent.add(new Browser(running.port));
+            silent.add(new TestClient(gateway.port));
         }
         assertEquals(200, plain());
-        for (Browser each : silent) {
-            assertFalse(each.head());
+        for (TestClient each : silent) {
+            assertFalse(each.readHead());
             each.close();
         }
     }
 
     @Test
     void requestsThatDoNotWaitAreRefusedAndTheFirstIsAnswered() throws Exception {
-        try (Browser hasty = running.post(id, "lookup", "4.0", "plain first")) {
+        try (TestClient hasty = gateway.post(id, "lookup", "4.0", "plain first")) {
             for (int i = 0; i < 50; i++) {
                 hasty.send(
-                        "POST", "/v1/chat/completions", Running.headers(Running.freshId(), "lookup", "4.0"), "hasty");
+                        "POST",
+                        "/v1/chat/completions",
+                        RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "lookup", "4.0"),
+                        "hasty");
             }
-            assertTrue(hasty.head());
+            assertTrue(hasty.readHead());
             assertEquals(200, hasty.status);
-            assertTrue(hasty.body().endsWith("[DONE]\n\n"));
-            assertTrue(hasty.head());
+            assertTrue(hasty.readBody().endsWith("[DONE]\n\n"));
+            assertTrue(hasty.readHead());
             assertEquals(503, hasty.status);
             assertEquals("close", hasty.headers.get("Connection"));
         }
-        assertEquals(0, running.reader.count("POST", "hasty"));
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "hasty"));
     }
 
     @Test
     @SuppressWarnings("try") // The second client goes before the first one is served.
     void anIdThatIsOpenIsRefusedAndTheFirstUnharmed() throws Exception {
-        try (Browser first = running.post(id, "listing", "9.0", "cut later");
-                Browser second = new Browser(running.port)) {
-            StandIn.until(() -> running.reader.count("POST", "cut later") == 1);
-            second.send("POST", "/v1/chat/completions", Running.headers(id, "listing", "9.0"), "again");
-            assertTrue(second.head());
+        try (TestClient first = gateway.post(id, "listing", "9.0", "cut later");
+                TestClient second = new TestClient(gateway.port)) {
+            Await.until(() -> gateway.prefillEngine.requestCount("POST", "cut later") == 1);
+            second.send("POST", "/v1/chat/completions", RunningGateway.platformHeaders(id, "listing", "9.0"), "again");
+            assertTrue(second.readHead());
             assertEquals(400, second.status);
             second.close();
-            assertTrue(first.head());
+            assertTrue(first.readHead());
             assertEquals(200, first.status);
-            running.writers.forEach(w -> w.firstSeen = true);
-            assertTrue(first.body().startsWith(StandIn.delta("one", "null")));
+            gateway.confirmFirstEvent();
+            assertTrue(first.readBody().startsWith(StubAnswer.delta("one", "null")));
         }
-        assertEquals(0, running.reader.count("POST", "again"));
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "again"));
     }
 
     @Test
     void terminationFinishesWhatWasTaken() throws Exception {
-        Browser streaming = running.post(id, "listing", "5.0", "pause");
-        assertTrue(streaming.head());
-        Browser idle = new Browser(running.port);
-        Browser waiting = running.post(Running.freshId(), "listing", "3.0", "hang-reader");
-        StandIn.until(() -> running.reader.count("POST", "hang") > 0);
-        running.process.destroy();
-        Browser up = new Browser(running.port);
+        TestClient streaming = gateway.post(id, "listing", "5.0", "pause");
+        assertTrue(streaming.readHead());
+        TestClient idle = new TestClient(gateway.port);
+        TestClient waiting = gateway.post(RunningGateway.nextRequestId(), "listing", "3.0", "hang-prefill");
+        Await.until(() -> gateway.prefillEngine.requestCount("POST", "hang") > 0);
+        gateway.process.destroy();
+        TestClient up = new TestClient(gateway.port);
         do {
             up.send("GET", "/up", "", "");
-            assertTrue(up.head());
-            up.body();
+            assertTrue(up.readHead());
+            up.readBody();
         } while (up.status == 200);
         assertEquals(503, up.status);
-        try (Browser late = running.post(Running.freshId(), "lookup", "4.0", "late")) {
-            assertTrue(late.head());
+        try (TestClient late = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "late")) {
+            assertTrue(late.readHead());
             assertEquals(200, late.status);
         }
-        assertFalse(idle.head(), "an idle connection closes");
-        assertTrue(waiting.head());
+        assertFalse(idle.readHead(), "an idle connection closes");
+        assertTrue(waiting.readHead());
         assertEquals(503, waiting.status);
         assertEquals("close", waiting.headers.get("Connection"));
-        waiting.body();
-        assertNull(StandIn.SimulatorCodec.line(waiting.socket.getInputStream()));
+        waiting.readBody();
+        assertNull(RawHttp.readLine(waiting.socket.getInputStream()));
         streaming.close();
-        assertEquals(0, running.process.waitFor());
+        assertEquals(0, gateway.process.waitFor());
     }
 }
--- /dev/null
+++ b/src/test/java/dunlinladder/it/RunningGateway.java
@@ -0,0 +1,263 @@
+package dunlinladder.it;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
+/**
+ * The gateway as a process of its own, before stubs of one prefill engine, two decode engines and discovery. It owns
+ * the process and, unless it is a peer of another gateway, the stubs.
+ */
+final class RunningGateway implements AutoCloseable {
+
+    private static final AtomicLong LAST_REQUEST_ID = new AtomicLong();
+    /** Descriptors for jars on the class path of the tests that the program by itself would not have open. */
+    private static final int TEST_JAR_DESCRIPTORS = 40;
+
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+
+    static final String SETTINGS = """
+            {"balancers":1,"caps":{"cancel":true,"connect-timeout":0.25,"keepalive":30.0,"max-attempts":4,
+            "max-retry-after":0.5,"retry-after":false},"classes":[
+            {"name":"lookup","deadline":4.0,"objective":0.8,"semantics":"safe","stream":true,"worth":1.0},
+            {"name":"listing","deadline":10.0,"objective":2.0,"semantics":"unsafe","stream":true,
+            "worth":3.0}],
+            "family-info":{"aim-us-per-1000-prompt-tokens":[60000.0,40000.0],"kv-tokens":[180000,150000,
+            240000],
+            "release-within":0.5,"role-by-kind":["read","write","both"],"token-aim":[0.05,0.07]},
+            "kinds":["prompt","answer","mixed"],"membership-mode":"pushed","zone":0,"zones":["a","b"],
+            "projects":[{"name":"acme","fraction":1.0,"quota-per-s":100000.0}],
+            "rules":{"answer-slack":0.008,"cold":14.0,"cold-from":0.26,"fall-multiple":4.0,
+            "stop-sending-within":1.0,"tip-after":1.5}}""";
+
+    final StubServer prefillEngine;
+    final List<StubServer> decodeEngines;
+    final StubServer discovery;
+    /** What the gateway has logged since it listens. */
+    final List<String> logLines = new CopyOnWriteArrayList<>();
+
+    final Process process;
+    /** Port of the platform front. */
+    final int port;
+    /** Port of the chat front; 0 where there is no applied state, and so no chat front. */
+    final int chatPort;
+
+    /** Further engines and their kinds. */
+    private final Map<StubServer, String> additionalEngines;
+
+    private final boolean ownsStubs;
+    private final Path configuration;
+    private final int descriptorLimit;
+
+    /** What a gateway is started with; the default is the platform front alone before engines of its own. */
+    static final class Builder {
+
+        private final Map<String, String> environment = new HashMap<>();
+        private Path appliedState;
+        private Map<StubServer, String> additionalEngines = Map.of();
+        private RunningGateway stubOwner;
+        private int descriptorLimit = DEFAULT_DESCRIPTOR_LIMIT;
+
+        private Builder() {}
+
+        /** Serves the chat front by this applied state, to clients with the key "secret". */
+        Builder chatFront(Path state) {
+            appliedState = state;
+            environment.put("CHAT_KEY", "secret");
+            return this;
+        }
+
+        /** Has the configuration list these engines too, each with its kind. */
+        Builder additionalEngines(Map<StubServer, String> kinds) {
+            additionalEngines = kinds;
+            return this;
+        }
+
+        /** Descriptors that the gateway may have and cannot exceed, but for what the tests' many jars take. */
+        Builder descriptorLimit(int limit) {
+            descriptorLimit = limit;
+            return this;
+        }
+
+        /** Returns once the gateway listens. */
+        RunningGateway start() throws IOException {
+            return new RunningGateway(this);
+        }
+    }
+
+    static Builder builder() {
+        return new Builder();
+    }
+
+    /** Starts one more gateway of the same deployment, before the same engines. */
+    RunningGateway startPeer() throws IOException {
+        Builder peer = builder().additionalEngines(additionalEngines);
+        peer.stubOwner = this;
+        return peer.start();
+    }
+
+    private RunningGateway(Builder options) throws IOException {
+        RunningGateway owner = options.stubOwner;
+        ownsStubs = owner == null;
+        prefillEngine = ownsStubs ? new StubServer(StubServer.Role.PREFILL) : owner.prefillEngine;
+        decodeEngines = ownsStubs
+                ? List.of(new StubServer(StubServer.Role.DECODE), new StubServer(StubServer.Role.DECODE))
+                : owner.decodeEngines;
+        discovery = ownsStubs ? new StubServer(StubServer.Role.DISCOVERY) : owner.discovery;
+        additionalEngines = options.additionalEngines;
+        descriptorLimit = options.descriptorLimit;
+        configuration = Files.createTempFile("gateway", ".json");
+        configure(discovery.address(), SETTINGS);
+        process = startProcess(options);
+        BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream()));
+        port = awaitPort(log, " front=platform ");
+        chatPort = options.appliedState == null ? 0 : awaitPort(log, " front=chat ");
+        Thread logReader = new Thread(() -> log.lines().forEach(logLines::add));
+        logReader.setDaemon(true);
+        logReader.start();
+    }
+
+    private Process startProcess(Builder options) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(List.of(
+                "sh",
+                "-c",
+                "ulimit -n " + (descriptorLimit + TEST_JAR_DESCRIPTORS) + " && exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dunlinladder.lifecycle.Main",
+                "serve",
+                "--state",
+                String.valueOf(options.appliedState)));
+        Map<String, String> environment = builder.environment();
+        environment.putAll(options.environment);
+        environment.put("RELAY_LISTEN", "127.0.0.1:0");
+        environment.put("RELAY_DISCOVERY", discovery.address());
+        environment.put("RELAY_CONFIG", configuration.toString());
+        return builder.redirectErrorStream(true).start();
+    }
+
+    /** Replaces the configuration file, whose list holds all engines as active. */
+    void configure(String discoveryAddress, String settings) throws IOException {
+        List<String> endpoints = new ArrayList<>();
+        endpoints.add(endpoint(prefillEngine, "prompt", "active"));
+        decodeEngines.forEach(engine -> endpoints.add(endpoint(engine, "answer", "active")));
+        additionalEngines.forEach((engine, kind) -> endpoints.add(endpoint(engine, kind, "active")));
+        Files.writeString(
+                configuration,
+                "{\"discovery\":\"" + discoveryAddress + "\","
+                        + "\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"known\":{\"seq\":1,"
+                        + "\"whole\":true,\"hosts\":[" + String.join(",", endpoints)
+                        + "]},\"limits\":{\"sockets\":" + descriptorLimit + "},\"settings\":" + settings + "}");
+    }
+
+    /** Sends a signal to the gateway. */
+    void signal(String name) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
+    }
+
+    private static int awaitPort(BufferedReader log, String frontMark) throws IOException {
+        List<String> linesBefore = new ArrayList<>();
+        for (String line = log.readLine(); line != null; line = log.readLine()) {
+            linesBefore.add(line);
+            if (line.contains(frontMark)) {
+                return Integer.parseInt(line.substring(line.lastIndexOf("port=") + "port=".length()));
+            }
+        }
+        throw new IOException("the gateway ended before it listened: " + linesBefore);
+    }
+
+    /** An entry of an endpoint list. */
+    static String endpoint(StubServer engine, String kind, String health) {
+        return "{\"host\":\"" + engine.address() + "\",\"dial\":\"" + engine.address()
+                + "\",\"site\":\"a\",\"class\":\"" + kind + "\",\"block\":1,\"health\":\"" + health
+                + "\",\"share\":1.0,\"born_ms\":0}";
+    }
+
+    /** An update that lists decode engines anew, all with the same health. */
+    static String decodeDelta(int version, String health, StubServer... engines) {
+        return "{\"seq\":" + version + ",\"whole\":false,\"hosts\":["
+                + Stream.of(engines)
+                        .map(engine -> endpoint(engine, "answer", health))
+                        .collect(Collectors.joining(","))
+                + "]}";
+    }
+
+    /** How many requests of the method with the text in body or target the two decode engines received. */
+    long decodeRequestCount(String method, String text) {
+        return decodeEngines.stream()
+                .mapToLong(engine -> engine.requestCount(method, text))
+                .sum();
+    }
+
+    /** How many engines were told to release the KV cache of the request. */
+    long releaseCount(String requestId) {
+        return decodeRequestCount("DELETE", requestId) + prefillEngine.requestCount("DELETE", requestId);
+    }
+
+    /** How many attempts the gateway abandoned at the prefill engine and the two decode engines. */
+    int abandonedAttemptCount() {
+        return prefillEngine.abandonedRequests.size()
+                + decodeEngines.stream()
+                        .mapToInt(engine -> engine.abandonedRequests.size())
+                        .sum();
+    }
+
+    /** Lets the decode engines break their streams "cut later". */
+    void confirmFirstEvent() {
+        decodeEngines.forEach(engine -> engine.firstEventReceived = true);
+    }
+
+    /** Lets the decode engines write the next event of their streams "in steps". */
+    void confirmEvents(int received) {
+        decodeEngines.forEach(engine -> engine.eventsReceived = received);
+    }
+
+    boolean hasLogged(String text) {
+        return logLines.stream().anyMatch(line -> line.contains(text));
+    }
+
+    static String nextRequestId() {
+        return String.format("%016x", LAST_REQUEST_ID.incrementAndGet());
+    }
+
+    /** Sends a request in the platform's protocol on a new connection; the timeout is in seconds. */
+    TestClient post(String requestId, String serviceClass, String timeout, String body) throws IOException {
+        return new TestClient(port)
+                .send("POST", "/v1/chat/completions?trace=1", platformHeaders(requestId, serviceClass, timeout), body);
+    }
+
+    static String platformHeaders(String requestId, String serviceClass, String timeout) {
+        return "X-Request-ID: " + requestId + "\r\nX-Priority-Class: " + serviceClass + "\r\nX-Tenant-Id: acme\r\n"
+                + "X-Route-Key: 7f3a\r\nX-Timeout: " + timeout + "\r\nContent-Type: application/json\r\n"
+                + "X-Attrs: prefix=5c0f,prompt_len=120,prefix_len=20,max_out=80\r\n";
+    }
+
+    @Override
+    public void close() throws IOException {
+        process.destroyForcibly();
+        if (!ownsStubs) {
+            return;
+        }
+        List<StubServer> stubs = new ArrayList<>(additionalEngines.keySet());
+        stubs.addAll(decodeEngines);
+        stubs.addAll(List.of(prefillEngine, discovery));
+        for (StubServer stub : stubs) {
+            stub.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/dunlinladder/it/StubAnswer.java
@@ -0,0 +1,226 @@
+package dunlinladder.it;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * What a stub engine answers to one request. Words in the request's body choose the answer and its faults. Each method
+ * returns whether the connection stays open for a next request.
+ */
+final class StubAnswer {
+
+    private static final String STREAM_HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String LOADED_STREAM_HEAD =
+            STREAM_HEAD.replace("OK\r\n", "OK\r\nX-Server-Load: queue=NaN\r\n");
+    private static final String REJECTION =
+            "{\"error\":{\"type\":\"invalid_request_error\",\"message\":\"too long\",\"param\":\"input\"}}";
+    private static final int INTERIM_RESPONSES = 3;
+    private static final int STEPS = 20;
+    private static final int LONG_EVENTS = 400;
+    private static final int LONG_EVENT_CHARACTERS = 8000;
+    private static final int ENDLESS_HEADER_LINES = 5000;
+    private static final int FAILING_EVENT = 5;
+    /** Between events, which keep their empty line. */
+    private static final String EVENT_BOUNDARY = "(?<=\n\n)";
+
+    private final StubServer server;
+    private final ReceivedRequest request;
+    private final String body;
+    private final InputStream in;
+    private final OutputStream out;
+
+    StubAnswer(StubServer server, ReceivedRequest request, InputStream in, OutputStream out) {
+        this.server = server;
+        this.request = request;
+        this.body = request.body();
+        this.in = in;
+        this.out = out;
+    }
+
+    /** One event of a chat completion's stream. */
+    static String delta(String text, String finishReason) {
+        return "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + text + "\"},\"finish_reason\":"
+                + finishReason + "}]}\n\n";
+    }
+
+    /** Answers as the words ask that name this engine's role, else as a sound engine of the role does. */
+    boolean write() throws IOException {
+        if (request.method().equals("DELETE")) {
+            return writeHead("204 No Content");
+        }
+        if (!request.target().startsWith(server.knownPathPrefix)) {
+            return writeHead("404 Unknown\r\nContent-Length: 2", "{}");
+        }
+        if (asks("hang")) {
+            return awaitClose();
+        }
+        if (asks("reset")) {
+            return false;
+        }
+        if (asks("busy") && server.requestCount("POST", body) == 1) {
+            return writeHead("503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0");
+        }
+        if (asks("error")) {
+            return writeHead("500 Error\r\nContent-Length: 0");
+        }
+        if (asks("reject")) {
+            return writeHead("400 Bad\r\nContent-Length: " + REJECTION.length(), REJECTION);
+        }
+        return asks("noise") || asks("endless") ? writeUnreadableHead() : writeSoundAnswer();
+    }
+
+    private boolean asks(String fault) {
+        return body.contains(fault + "-" + server.role.word);
+    }
+
+    private boolean writeHead(String statusAndHeaders) throws IOException {
+        return writeHead(statusAndHeaders, "");
+    }
+
+    private boolean writeHead(String statusAndHeaders, String content) throws IOException {
+        RawHttp.write(out, "HTTP/1.1 " + statusAndHeaders + "\r\n\r\n" + content);
+        return true;
+    }
+
+    private boolean writeUnreadableHead() throws IOException {
+        if (asks("noise")) {
+            RawHttp.write(out, "\u0001\u0002 noise\r\n\r\n");
+            return awaitClose();
+        }
+        for (int line = 0; line < ENDLESS_HEADER_LINES; line++) {
+            RawHttp.write(out, (line == 0 ? "HTTP/1.1 200 OK" : "X: y") + "\r\n");
+        }
+        return awaitClose();
+    }
+
+    private boolean writeSoundAnswer() throws IOException {
+        if (server.role == StubServer.Role.PREFILL) {
+            return writeHead("202 Read\r\nContent-Length: 19", "{\"cached_tokens\":4}");
+        }
+        if (body.contains("[reply ")) {
+            return replay(body.replaceAll("(?s).*\\[reply ([a-z-]+)].*", "$1"));
+        }
+        return request.target().startsWith("/v1/responses") ? writeTypedEvents() : writeChatStream();
+    }
+
+    private boolean writeChatStream() throws IOException {
+        for (int i = 0; body.contains("interim") && i < INTERIM_RESPONSES; i++) {
+            writeHead("103 Early\r\nX: y");
+        }
+        RawHttp.write(out, LOADED_STREAM_HEAD);
+        if (body.contains("spoilt opening")) {
+            RawHttp.writeChunk(out, "\u0001\u0002 noise\n\n");
+            return awaitClose();
+        }
+        RawHttp.writeChunk(out, delta("one", "null"));
+        if (body.contains("spoilt ")) {
+            RawHttp.write(out, spoiltChunk());
+            return awaitClose();
+        }
+        if (body.contains("pause")) {
+            return awaitClose();
+        }
+        writeMiddleEvents();
+        RawHttp.writeChunk(out, delta(" two", "\"stop\""));
+        return !body.contains("cut") && writeStreamEnd();
+    }
+
+    private String spoiltChunk() {
+        if (body.contains("size")) {
+            return "zz\r\n";
+        }
+        if (body.contains("huge")) {
+            return "C0000000\r\ndata: {}\n\n";
+        }
+        return body.contains("fit") ? "5\r\n" + delta("two", "null") : "";
+    }
+
+    private void writeMiddleEvents() throws IOException {
+        if (body.contains("cut later")) {
+            // A break that comes together with the first event may be seen before it.
+            Await.until(() -> server.firstEventReceived || server.isClosed());
+        }
+        for (int i = 1; body.contains("in steps") && i < STEPS; i++) {
+            int step = i;
+            Await.until(() -> server.eventsReceived >= step || server.isClosed());
+            RawHttp.writeChunk(out, delta("step " + step, "null"));
+        }
+        for (int i = 0; body.contains("long") && i < LONG_EVENTS; i++) {
+            RawHttp.writeChunk(out, delta("x".repeat(LONG_EVENT_CHARACTERS), "null"));
+        }
+    }
+
+    private boolean writeStreamEnd() throws IOException {
+        RawHttp.writeChunk(
+                out,
+                "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2}}\n\n"
+                        + (body.contains("unclosed") ? "" : "data: [DONE]\n\n"));
+        String stale = delta("stale", "null");
+        // Written together with the last chunk, so that both may be read at once.
+        RawHttp.write(
+                out,
+                "0\r\n\r\n"
+                        + (body.contains("twice")
+                                ? "HTTP/1.1 200 OK\r\nContent-Length: " + stale.length() + "\r\n\r\n" + stale
+                                : ""));
+        return true;
+    }
+
+    /** Streams a recorded answer as it stands. */
+    private boolean replay(String name) throws IOException {
+        String recorded = resource("/conformance/" + name + ".sse");
+        RawHttp.write(out, STREAM_HEAD);
+        for (String event : recorded.split(EVENT_BOUNDARY)) {
+            RawHttp.writeChunk(out, event);
+        }
+        RawHttp.writeLastChunk(out);
+        return true;
+    }
+
+    /**
+     * Streams a recorded answer in the format of items and typed events; {@code broken after N} in the request ends it
+     * after N events without an end, {@code failing} has the answer report its own failure.
+     */
+    private boolean writeTypedEvents() throws IOException {
+        RawHttp.write(out, STREAM_HEAD);
+        String[] events = resource("/apiformat/text-responses.sse").split(EVENT_BOUNDARY);
+        int written = body.matches("(?s).*broken after \\d+.*")
+                ? Integer.parseInt(body.replaceAll("(?s).*broken after (\\d+).*", "$1"))
+                : events.length;
+        for (int i = 0; i < written; i++) {
+            if (body.contains("failing") && i == FAILING_EVENT) {
+                RawHttp.writeChunk(
+                        out,
+                        "event: response.failed\ndata: {\"type\":\"response.failed\",\"response\":"
+                                + "{\"status\":\"failed\",\"error\":{\"code\":\"server_error\",\"message\":"
+                                + "\"inner host\"}}}\n\n");
+                break;
+            }
+            RawHttp.writeChunk(out, events[i]);
+        }
+        if (written < events.length) {
+            return false;
+        }
+        RawHttp.writeLastChunk(out);
+        return true;
+    }
+
+    private static String resource(String name) throws IOException {
+        try (InputStream file = StubAnswer.class.getResourceAsStream(name)) {
+            return new String(file.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    /** A gateway abandons an attempt by a close or a reset. */
+    private boolean awaitClose() {
+        try {
+            server.abandonedRequests.add(in.read() < 0 ? body : "more");
+        } catch (IOException e) {
+            server.abandonedRequests.add(body);
+        }
+        return false;
+    }
+}
--- a/src/test/java/dunlinladder/it/TogetherTest.java
+++ b/src/test/java/dunlinladder/it/TogetherTest.java
@@ -4,10 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
@@ -20,15 +18,15 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TogetherTest {
 
-    private final List<Running> gateways = new ArrayList<>();
-    private Running first;
+    private final List<RunningGateway> gateways = new ArrayList<>();
+    private RunningGateway first;
 
     @BeforeEach
     void start() throws Exception {
-        first = new Running(Map.of(), null);
+        first = RunningGateway.builder().start();
         gateways.add(first);
-        gateways.add(first.beside());
-        gateways.add(first.beside());
+        gateways.add(first.startPeer());
+        gateways.add(first.startPeer());
     }
 
     @AfterEach
@@ -39,37 +37,37 @@
         }
     }
 
-    private static int ask(Running gateway, String body) throws Exception {
-        try (Browser browser = gateway.post(Running.freshId(), "listing", "5.0", body)) {
-            assertTrue(browser.head());
-            browser.body();
-            return browser.status;
+    private static int ask(RunningGateway gateway, String body) throws Exception {
+        try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "listing", "5.0", body)) {
+            assertTrue(client.readHead());
+            client.readBody();
+            return client.status;
         }
     }
 
     /** Later than the settings' second after discovery has told it, none sends to a writer that drains. */
     @Test
     void allHeedOneDrain() throws Exception {
-        for (Running gateway : gateways) {
+        for (RunningGateway gateway : gateways) {
             assertEquals(200, ask(gateway, "before"));
         }
-        StandIn.until(() -> first.discovery.seen.size() >= gateways.size());
-        StandIn drains = first.writers.get(0);
-        first.discovery.tell(
-                "{\"seq\":2,\"whole\":false,\"hosts\":[" + Running.host(drains, "answer", "leaving") + "]}");
+        Await.until(() -> first.discovery.receivedRequests.size() >= gateways.size());
+        StubServer drains = first.decodeEngines.get(0);
+        first.discovery.publish(
+                "{\"seq\":2,\"whole\":false,\"hosts\":[" + RunningGateway.endpoint(drains, "answer", "leaving") + "]}");
         long latest = System.nanoTime() + 1_000_000_000L;
         int served = 0;
         while (System.nanoTime() < latest + 500_000_000L) {
-            for (Running gateway : gateways) {
+            for (RunningGateway gateway : gateways) {
                 served += ask(gateway, "after") == 200 ? 1 : 0;
             }
         }
         assertTrue(served > 0);
-        assertEquals(served, first.atWriters("POST", "after"));
+        assertEquals(served, first.decodeRequestCount("POST", "after"));
         assertEquals(
                 0,
-                drains.seen.stream()
-                        .filter(s -> s.method().equals("POST") && s.at() > latest)
+                drains.receivedRequests.stream()
+                        .filter(s -> s.method().equals("POST") && s.receivedNanos() > latest)
                         .count());
     }
 
@@ -81,12 +79,12 @@
         for (int i = 0; i < 10; i++) {
             starts.add(pool.submit(() -> {
                 long from = System.nanoTime();
-                Running started = first.beside();
+                RunningGateway started = first.startPeer();
                 synchronized (gateways) {
                     gateways.add(started);
                 }
-                try (Browser up = new Browser(started.port).send("GET", "/up", "", "")) {
-                    assertTrue(up.head());
+                try (TestClient up = new TestClient(started.port).send("GET", "/up", "", "")) {
+                    assertTrue(up.readHead());
                     assertEquals(200, up.status);
                 }
                 return (System.nanoTime() - from) / 1e9;
@@ -103,39 +101,35 @@
     /** One that is killed with a read and a stream out costs its own clients alone. */
     @Test
     void oneThatIsKilledCostsItsOwnClientsAlone() throws Exception {
-        Running killed = gateways.get(1);
-        Browser reading = killed.post(Running.freshId(), "listing", "5.0", "hang-reader");
-        Browser streaming = killed.post(Running.freshId(), "listing", "5.0", "pause");
-        assertTrue(streaming.head());
-        StandIn.until(() -> first.reader.count("POST", "hang-reader") == 1);
+        RunningGateway killed = gateways.get(1);
+        TestClient reading = killed.post(RunningGateway.nextRequestId(), "listing", "5.0", "hang-prefill");
+        TestClient streaming = killed.post(RunningGateway.nextRequestId(), "listing", "5.0", "pause");
+        assertTrue(streaming.readHead());
+        Await.until(() -> first.prefillEngine.requestCount("POST", "hang-prefill") == 1);
         killed.process.destroyForcibly().waitFor();
         assertEquals(200, ask(gateways.get(0), "during"));
         assertEquals(200, ask(gateways.get(2), "during"));
-        assertFalse(reading.head(), "its connection is reset");
-        assertTrue(streaming.body().endsWith("(cut)"));
-        StandIn.until(() -> first.reader.abandoned.size()
-                        + first.writers.stream()
-                                .mapToInt(w -> w.abandoned.size())
-                                .sum()
-                == 2);
-        assertEquals(1, first.reader.count("POST", "hang-reader"), "nobody sends it again");
-        gateways.set(1, first.beside());
+        assertFalse(reading.readHead(), "its connection is reset");
+        assertTrue(streaming.readBody().endsWith("(cut)"));
+        Await.until(() -> first.abandonedAttemptCount() == 2);
+        assertEquals(1, first.prefillEngine.requestCount("POST", "hang-prefill"), "nobody sends it again");
+        gateways.set(1, first.startPeer());
         assertEquals(200, ask(gateways.get(1), "again"));
     }
 
     /** One that is stopped (SIGSTOP) for a while takes up its work; what the others do goes on meanwhile. */
     @Test
     void oneThatIsStoppedGoesOn() throws Exception {
-        Running stopped = gateways.get(2);
+        RunningGateway stopped = gateways.get(2);
         stopped.signal("STOP");
-        try (Browser waits = stopped.post(Running.freshId(), "listing", "5.0", "asleep")) {
+        try (TestClient waits = stopped.post(RunningGateway.nextRequestId(), "listing", "5.0", "asleep")) {
             assertEquals(200, ask(gateways.get(0), "awake"));
             assertEquals(200, ask(gateways.get(1), "awake"));
-            assertEquals(0, first.reader.count("POST", "asleep"));
+            assertEquals(0, first.prefillEngine.requestCount("POST", "asleep"));
             stopped.signal("CONT");
-            assertTrue(waits.head());
+            assertTrue(waits.readHead());
             assertEquals(200, waits.status);
         }
-        assertEquals(1, first.atWriters("POST", "asleep"));
+        assertEquals(1, first.decodeRequestCount("POST", "asleep"));
     }
 }
