--- a/src/test/java/dunlinladder/it/ChatTest.java
+++ b/src/test/java/dunlinladder/it/ChatTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void answersWholeWhereNoStreamIsWanted() throws Exception {
+    void answersWholeWhenNoStreamIsWanted() throws Exception {
         try (TestClient client = post("list", false, "plain")) {
             assertTrue(client.readHead());
             assertEquals(200, client.status);
@@ -85,7 +85,7 @@
         "list, false, hang-prefill, 429",
         "gone, true, plain, 404"
     })
-    void brokenAnswersAreNotPassedOffAsWhole(String model, boolean stream, String text, int status)
+    void reportsAnErrorWhenAnAnswerIsIncomplete(String model, boolean stream, String text, int status)
             throws Exception {
         try (TestClient client = post(model, stream, text + " once")) {
             assertTrue(client.readHead());
@@ -112,7 +112,7 @@
                 "GET|/v1/engines|secret|x|404",
                 "POST|/v1/chat/completions|secret|long|413"
             })
-    void requestsAreChecked(String method, String target, String key, String body, int status) throws Exception {
+    void validatesRequests(String method, String target, String key, String body, int status) throws Exception {
         try (TestClient client = CHAT.connect()
                 .send(
                         method,
@@ -127,7 +127,7 @@
 
     /** Faults mixed: each client gets one terminal outcome, and no listing runs at a decode engine twice. */
     @Test
-    void twoThousandMixedRequests() throws Exception {
+    void givesOneOutcomeToEachOfTwoThousandMixedRequests() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<String>> outcomes = new ArrayList<>();
         for (int i = 0; i < MIXED_REQUESTS; i++) {
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void chatIsOffWithoutAppliedState() throws Exception {
+    void offersNoChatWithoutAppliedState() throws Exception {
         try (RunningGateway platformOnly = RunningGateway.builder().start();
                 TestClient client = new TestClient(platformOnly.port)
                         .send("GET", "/v1/models", ChatGatewayExtension.BEARER_KEY, "")) {
--- a/src/test/java/dunlinladder/it/ConformanceTest.java
+++ b/src/test/java/dunlinladder/it/ConformanceTest.java
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"completions", "chat", "responses", "messages"})
-    void answersAreTheRecordedOnes(String engines) throws Exception {
+    void answersAsRecorded(String engines) throws Exception {
         Path state = folder.resolve(engines + ".json");
         ChatGatewayExtension.writeAppliedState(state, "20", "\"generations.all.format\":\"" + engines + "\"");
         File[] files = new File(
--- a/src/test/java/dunlinladder/it/CrossingsTest.java
+++ b/src/test/java/dunlinladder/it/CrossingsTest.java
@@ -25,7 +25,7 @@
     /** Its end stands behind requests that are not read, and the one that was taken would run on unheard. */
     @ParameterizedTest
     @CsvSource({"0, false", "1, false", "2, false", "50, false", "2000, false", "0, true", "2, true", "50, true"})
-    void whoSendsMoreThanOneAndLeavesEndsItsAttempt(int pipelined, boolean byReset) throws Exception {
+    void abandonsTheAttemptWhenAPipeliningClientDisconnects(int pipelined, boolean byReset) throws Exception {
         try (TestClient client = gateway.post(requestId, "listing", "600.0", "hang-prefill")) {
             for (int i = 0; i < pipelined; i++) {
                 send(client, RunningGateway.nextRequestId(), "listing", "600.0", "pipelined");
@@ -53,7 +53,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 60, 520})
-    void aRequestThatIsHalfHereAtTheEndIsAnswered(int bytesBefore) throws Exception {
+    void answersARequestThatIsHalfReceivedAtTermination(int bytesBefore) throws Exception {
         String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                 + RunningGateway.platformHeaders(requestId, "lookup", "4.0") + "Content-Length: 400\r\n\r\n"
                 + "x".repeat(400);
@@ -88,7 +88,7 @@
      * request as soon as it has the last chunk. Taken, it would be lost where engines hang until the kill.
      */
     @Test
-    void aStreamThatEndsAfterTheEndWasToldTakesItsConnectionAlong() throws Exception {
+    void closesTheConnectionWhenAStreamEndsAfterTermination() throws Exception {
         List<TestClient> streaming = new ArrayList<>();
         try (TestClient idle = new TestClient(gateway.port)) {
             assertEquals(200, lookupStatus(idle));
@@ -119,7 +119,7 @@
      * its connection ends and no engine has seen it, so that its client may send it again.
      */
     @Test
-    void aRequestInTheMomentOfACloseIsAnsweredOrNeverSentOn() throws Exception {
+    void answersOrNeverForwardsARequestThatRacesWithAClose() throws Exception {
         // Given clients with idle connections
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
@@ -169,7 +169,7 @@
 
     /** No event waits for the next one: each is written once the client has seen the one before. */
     @Test
-    void eachEventIsPassedOnBeforeTheNextIsWritten() throws Exception {
+    void forwardsEachEventBeforeTheNextIsWritten() throws Exception {
         try (TestClient client = gateway.post(requestId, "listing", "9.0", "in steps")) {
             assertTrue(client.readHead());
             StringBuilder seen = new StringBuilder();
@@ -194,7 +194,7 @@
      * its return its news is heard, engines are reached and later clients served.
      */
     @Test
-    void descriptorsTakenWhileDiscoveryIsDownCostNobodyElse() throws Exception {
+    void servesOthersWhenIdleClientsTakeDescriptorsWhileDiscoveryIsDown() throws Exception {
         List<TestClient> idleClients = new ArrayList<>();
         try (RunningGateway limited =
                 RunningGateway.builder().descriptorLimit(256).start()) {
--- a/src/test/java/dunlinladder/it/DialectTest.java
+++ b/src/test/java/dunlinladder/it/DialectTest.java
@@ -58,7 +58,7 @@
         "/v1/responses, /output/0/content/0/text, /usage/output_tokens",
         "/v1/messages, /content/0/text, /usage/output_tokens"
     })
-    void aWholeAnswerComesInTheClientsFormat(String path, String textPointer, String tokensPointer) throws Exception {
+    void answersWholeInTheClientsFormat(String path, String textPointer, String tokensPointer) throws Exception {
         try (TestClient client = post(path, body(path, "list", false, "plain " + path, ""))) {
             assertTrue(client.readHead());
             String answer = client.readBody();
@@ -90,7 +90,7 @@
         "/v1/responses, /delta, response.completed",
         "/v1/messages, /delta/text, message_stop"
     })
-    void aStreamComesInTheClientsFormat(String path, String textPointer, String lastType) throws Exception {
+    void streamsInTheClientsFormat(String path, String textPointer, String lastType) throws Exception {
         try (TestClient client = post(path, body(path, "find", true, "plain", ""))) {
             assertTrue(client.readHead());
             assertEquals("text/event-stream", client.headers.get("content-type"));
@@ -120,7 +120,7 @@
         "/v1/messages, gone, plain, 404",
         "/v1/responses, find, error-decode, 429"
     })
-    void failuresAreToldInTheClientsFormat(String path, String model, String text, int status) throws Exception {
+    void reportsFailuresInTheClientsFormat(String path, String model, String text, int status) throws Exception {
         String mark = text + " for " + path + status;
         try (TestClient client = post(path, body(path, model, false, mark, ""))) {
             assertTrue(client.readHead());
@@ -138,7 +138,7 @@
     /** A request that an engine rejects is not retried, and ejects no engine. */
     @ParameterizedTest
     @CsvSource({"/v1/responses, find", "/v1/messages, list", "/v1/chat/completions, find", "/v1/completions, list"})
-    void whatAnEngineRejectsIsToldAtOnce(String path, String model) throws Exception {
+    void reportsARejectionByAnEngineAtOnce(String path, String model) throws Exception {
         for (int i = 0; i < 5; i++) {
             String mark = "reject-decode " + path + i;
             try (TestClient client = post(path, body(path, model, false, mark, ""))) {
@@ -159,7 +159,7 @@
     /** A stream that breaks after its first event ends with the client's own failure, never with an end. */
     @ParameterizedTest
     @CsvSource({"/v1/responses, response.failed", "/v1/messages, error", "/v1/completions, ''"})
-    void aBrokenStreamEndsWithOneFailure(String path, String type) throws Exception {
+    void endsWithOneFailureWhenAStreamBreaks(String path, String type) throws Exception {
         try (TestClient client = post(path, body(path, "list", true, "spoilt size " + path, ""))) {
             assertTrue(client.readHead());
             assertEquals(200, client.status);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void whatIsLeftOutIsSaidAndWhatCannotBeSaidIsRefused() throws Exception {
+    void warnsOfDroppedFieldsAndRejectsUntranslatableOnes() throws Exception {
         try (TestClient client =
                 post("/v1/messages", body("/v1/messages", "find", false, "plain", ",'top_k':3,'novel':1"))) {
             assertTrue(client.readHead());
@@ -200,7 +200,7 @@
 
     @ParameterizedTest
     @CsvSource({"/v1/models/find, 200", "/v1/models/none, 404"})
-    void aModelIsDescribed(String path, int status) throws Exception {
+    void describesAModel(String path, int status) throws Exception {
         try (TestClient client = CHAT.connect().send("GET", path, ChatGatewayExtension.BEARER_KEY, "")) {
             assertTrue(client.readHead());
             assertEquals(status, client.status);
--- a/src/test/java/dunlinladder/it/NewServersTest.java
+++ b/src/test/java/dunlinladder/it/NewServersTest.java
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @CsvSource({"/v1/completions", "/v1/chat/completions", "/v1/messages"})
-    void oldClientsReachNewServers(String path) throws Exception {
+    void translatesForClientsOfOlderFormats(String path) throws Exception {
         start("\"generations.new.format\":\"responses\"", Map.of());
         for (String model : List.of("find", "list")) {
             try (TestClient client = post(path, model, false, "whole " + model)) {
@@ -102,7 +102,7 @@
 
     /** An engine that answers 404 gets no more requests, and costs no listing. */
     @Test
-    void engineThatDoesNotSpeakItsGenerationsFormatIsLeftOut() throws Exception {
+    void avoidsAnEngineThatDoesNotSpeakItsGenerationsFormat() throws Exception {
         start("\"generations.new.format\":\"responses\"", Map.of());
         gateway.decodeEngines.get(0).knownPathPrefix = "/v1/chat/";
         for (int i = 0; i < 30; i++) {
@@ -129,7 +129,7 @@
      * client, and no listing twice. {@code make soak} sends more.
      */
     @Test
-    void aMoveUnderLoadKeepsTheRules() throws Exception {
+    void keepsTheRulesWhenTheFleetMigratesUnderLoad() throws Exception {
         // Given a fleet that starts to migrate from chat completions to responses
         Map<StubServer, String> additionalEngines = Map.of(
                 new StubServer(StubServer.Role.PREFILL), "prompt",
--- a/src/test/java/dunlinladder/it/RulesTest.java
+++ b/src/test/java/dunlinladder/it/RulesTest.java
@@ -20,7 +20,7 @@
 class RulesTest extends PlatformGatewayFixture {
 
     @Test
-    void requestAndStreamPassUnchanged() throws Exception {
+    void forwardsRequestAndStreamUnchanged() throws Exception {
         try (TestClient client = gateway.post(requestId, "lookup", "4.000", "{\"odd\" : 1}")) {
             assertTrue(client.readHead());
             assertEquals(200, client.status);
@@ -54,7 +54,7 @@
         "lookup, error-decode, 503, 3",
         "listing, reset-prefill, 503, 0"
     })
-    void onlyWhatNeverRanOrMayRepeatIsSentAgain(String serviceClass, String fault, int status, int atWriters)
+    void retriesOnlyWhenTheRequestNeverRanOrIsIdempotent(String serviceClass, String fault, int status, int atWriters)
             throws Exception {
         try (TestClient client = gateway.post(requestId, serviceClass, "5.0", fault)) {
             assertTrue(client.readHead());
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @CsvSource({"hang-prefill, listing, 503", "hang-decode, listing, 504", "hang-decode, lookup, 503"})
-    void silenceIsAnsweredAtTheDeadline(String fault, String serviceClass, int status) throws Exception {
+    void answersByTheDeadlineWhenAnEngineIsSilent(String fault, String serviceClass, int status) throws Exception {
         try (TestClient client = gateway.post(requestId, serviceClass, "0.6", fault)) {
             assertTrue(client.readHead());
             assertEquals(status, client.status);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void brokenStreamEndsWithoutTheLastChunk() throws Exception {
+    void omitsTheLastChunkWhenAStreamBreaks() throws Exception {
         try (TestClient client = gateway.post(requestId, "listing", "5.0", "cut later")) {
             assertTrue(client.readHead());
             gateway.confirmFirstEvent();
@@ -90,7 +90,7 @@
     /** Who asks for the rest of a broken stream is served anew, also where a request must not run twice. */
     @ParameterizedTest
     @ValueSource(strings = {"lookup", "listing"})
-    void aClientComesAgainForTheRest(String serviceClass) throws Exception {
+    void servesAnewWhenAClientRetriesABrokenStream(String serviceClass) throws Exception {
         try (TestClient client = gateway.post(requestId, serviceClass, "5.0", "cut later")) {
             assertTrue(client.readHead());
             gateway.confirmFirstEvent();
@@ -119,7 +119,7 @@
     /** A stream spoilt after its first event ends its client's connection long before any deadline. */
     @ParameterizedTest
     @ValueSource(strings = {"spoilt size", "spoilt huge", "spoilt fit", "spoilt silence"})
-    void spoiltStreamEndsWithoutTheLastChunk(String fault) throws Exception {
+    void omitsTheLastChunkWhenAStreamIsMalformed(String fault) throws Exception {
         try (TestClient client = gateway.post(requestId, "listing", "600.0", fault)) {
             assertTrue(client.readHead());
             String body = client.readBody();
@@ -131,7 +131,7 @@
 
     /** Engines that end kept connections under the next request cost one request, not each. */
     @Test
-    void keptConnectionsThatBreakAreNotTrusted() throws Exception {
+    void losesAtMostOneRequestWhenIdleConnectionsBreakOnReuse() throws Exception {
         int failed = 0;
         for (int i = 0; i < 20; i++) {
             try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "listing", "9.0", "stale")) {
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void whatComesBesideAnAnswerMeetsNoOther() throws Exception {
+    void ignoresExtraResponsesOfAnEngine() throws Exception {
         for (int i = 0; i < 20; i++) {
             try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "interim twice")) {
                 assertTrue(client.readHead());
@@ -157,7 +157,7 @@
 
     @ParameterizedTest
     @CsvSource({"pause", "hang-decode", "hang-prefill"})
-    void clientThatLeavesEndsItsAttemptAndWhatIsHeld(String fault) throws Exception {
+    void abandonsAttemptAndReleasesCacheWhenTheClientDisconnects(String fault) throws Exception {
         try (TestClient client = gateway.post(requestId, "listing", "9.0", fault)) {
             Await.until(() -> gateway.prefillEngine.requestCount("POST", fault) > 0
                     && (fault.equals("hang-prefill") || gateway.decodeRequestCount("POST", fault) > 0));
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void drainedEngineGetsNothingNewAndWatchComesBack() throws Exception {
+    void sendsNothingToADrainingEngineOnceTheWatchReconnected() throws Exception {
         Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
         gateway.discovery.closeConnections();
         assertEquals(200, lookupStatus());
@@ -194,7 +194,7 @@
 
     /** A stream runs on, the old address is left at once, and a file with faults changes nothing. */
     @Test
-    void hangupPointsTheWatchAtTheFilesDiscovery() throws Exception {
+    void movesTheWatchWhenSighupNamesAnotherDiscovery() throws Exception {
         Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
         try (TestClient streaming = gateway.post(requestId, "listing", "9.0", "cut later");
                 StubServer next = new StubServer(StubServer.Role.DISCOVERY)) {
@@ -220,7 +220,7 @@
 
     /** Under nohup a JVM hears no SIGHUP: discovery that is lost is sought where the file says now. */
     @Test
-    void lostDiscoveryIsSoughtWhereTheFileSays() throws Exception {
+    void readsTheFileAgainWhenDiscoveryIsLost() throws Exception {
         Await.until(() -> gateway.discovery.receivedRequests.size() == 1);
         try (StubServer next = new StubServer(StubServer.Role.DISCOVERY)) {
             gateway.configure(next.address(), RunningGateway.SETTINGS);
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void slowClientHoldsTheStreamBackAndGetsAllOfIt() throws Exception {
+    void deliversTheWholeStreamWhenTheClientReadsSlowly() throws Exception {
         try (TestClient slow = gateway.post(requestId, "listing", "9.0", "long")) {
             assertTrue(slow.readHead());
             try (TestClient other = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "plain")) {
@@ -255,7 +255,7 @@
         "POST, /v1/chat/completions, lookup, 413, 413",
         "GET, /up, lookup, 4.0, 200"
     })
-    void whatIsNotARequestTouchesNoEngine(
+    void reachesNoEngineWhenTheRequestIsInvalid(
             String method, String target, String serviceClass, String timeout, int status) throws Exception {
         String body = status == 413 ? "x".repeat(256 * 1024 + 1) : "{}";
         try (TestClient client = new TestClient(gateway.port)
@@ -282,7 +282,7 @@
                 ""
             })
     @SuppressWarnings("try") // A good request stays open beside the bad one and is not looked at.
-    void whatCannotBeReadEndsItsConnection(String rest) throws Exception {
+    void closesTheConnectionWhenTheRequestIsMalformed(String rest) throws Exception {
         String hidden = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                 + RunningGateway.platformHeaders(RunningGateway.nextRequestId(), "lookup", "4.0")
                 + "Content-Length: 6\r\n\r\nhidden";
@@ -314,7 +314,7 @@
 
     /** Clients that connect and say nothing make room for those that ask, and are closed in the end. */
     @Test
-    void silentConnectionsMakeRoom() throws Exception {
+    void closesSilentConnectionsWhenOthersNeedRoom() throws Exception {
         List<TestClient> silent = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             silent.add(new TestClient(gateway.port));
@@ -327,7 +327,7 @@
     }
 
     @Test
-    void requestsThatDoNotWaitAreRefusedAndTheFirstIsAnswered() throws Exception {
+    void answersTheFirstAndRejectsTheNextWhenRequestsArePipelined() throws Exception {
         try (TestClient client = gateway.post(requestId, "lookup", "4.0", "plain first")) {
             for (int i = 0; i < 50; i++) {
                 send(client, RunningGateway.nextRequestId(), "lookup", "4.0", "pipelined");
@@ -344,7 +344,7 @@
 
     @Test
     @SuppressWarnings("try") // The second client goes before the first one is served.
-    void anIdThatIsOpenIsRefusedAndTheFirstUnharmed() throws Exception {
+    void rejectsARequestWhoseIdIsInFlight() throws Exception {
         try (TestClient first = gateway.post(requestId, "listing", "9.0", "cut later");
                 TestClient second = new TestClient(gateway.port)) {
             Await.until(() -> gateway.prefillEngine.requestCount("POST", "cut later") == 1);
@@ -361,7 +361,7 @@
     }
 
     @Test
-    void terminationFinishesWhatWasTaken() throws Exception {
+    void finishesAcceptedRequestsWhenTerminated() throws Exception {
         TestClient streaming = gateway.post(requestId, "listing", "5.0", "pause");
         assertTrue(streaming.readHead());
         TestClient idle = new TestClient(gateway.port);
--- a/src/test/java/dunlinladder/it/TogetherTest.java
+++ b/src/test/java/dunlinladder/it/TogetherTest.java
@@ -47,7 +47,7 @@
 
     /** Later than the settings' second after discovery has told it, none sends to a writer that draining. */
     @Test
-    void allHeedOneDrain() throws Exception {
+    void everyGatewayStopsSendingToADrainingEngine() throws Exception {
         for (RunningGateway gateway : gateways) {
             assertEquals(200, ask(gateway, "before"));
         }
@@ -72,7 +72,7 @@
 
     /** Nine in ten processes that start together are ready within 10 s, all within the limit of this class. */
     @Test
-    void nineInTenThatStartTogetherAreReadyInTime() throws Exception {
+    void nineInTenAreReadyInTimeWhenTheyStartTogether() throws Exception {
         List<Future<Double>> starts = new ArrayList<>();
         ExecutorService pool = Executors.newFixedThreadPool(10);
         for (int i = 0; i < 10; i++) {
@@ -99,7 +99,7 @@
 
     /** One that is killed with a read and a stream out costs its own clients alone. */
     @Test
-    void oneThatIsKilledCostsItsOwnClientsAlone() throws Exception {
+    void disturbsOnlyItsOwnClientsWhenAGatewayIsKilled() throws Exception {
         RunningGateway killed = gateways.get(1);
         TestClient reading = killed.post(RunningGateway.nextRequestId(), "listing", "5.0", "hang-prefill");
         TestClient streaming = killed.post(RunningGateway.nextRequestId(), "listing", "5.0", "pause");
@@ -118,7 +118,7 @@
 
     /** One that is stopped (SIGSTOP) for a while takes up its work; what the others do goes on meanwhile. */
     @Test
-    void oneThatIsStoppedGoesOn() throws Exception {
+    void resumesWhenAStoppedGatewayContinues() throws Exception {
         RunningGateway stopped = gateways.get(2);
         stopped.signal("STOP");
         try (TestClient waits = stopped.post(RunningGateway.nextRequestId(), "listing", "5.0", "asleep")) {
