--- a/src/test/java/dunlinladder/it/ChatGatewayExtension.java
+++ b/src/test/java/dunlinladder/it/ChatGatewayExtension.java
@@ -27,11 +27,12 @@
 
     /** Writes an applied state with the models and the key, this deadline of listings, and further JSON members. */
     static void writeAppliedState(Path file, String listingDeadlineSeconds, String moreSettings) throws IOException {
-        Files.writeString(
-                file, """
+        String state = """
                 {"serial":1,"settings":{"listen":"127.0.0.1:0","deadlines.listing":"%s",
                 "keys.CHAT_KEY.tenant":"acme","models.find.class":"lookup",
-                "models.list.class":"listing"%s}}""".formatted(listingDeadlineSeconds, moreSettings.isBlank() ? "" : "," + moreSettings));
+                "models.list.class":"listing"%s}}""";
+        String settings = moreSettings.isBlank() ? "" : "," + moreSettings;
+        Files.writeString(file, state.formatted(listingDeadlineSeconds, settings));
     }
 
     @Override
--- a/src/test/java/dunlinladder/it/ConformanceTest.java
+++ b/src/test/java/dunlinladder/it/ConformanceTest.java
@@ -6,11 +6,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.io.File;
-import java.nio.charset.StandardCharsets;
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
-import java.util.Iterator;
-import java.util.List;
+import java.util.Optional;
+import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.Timeout;
@@ -19,13 +19,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Recorded requests replayed through the started program, for each format of engines, and the answers held against
+ * Recorded requests replayed through the running gateway, for each format of engines, and the answers held against
  * recorded ones field by field. A recorded {@code "*"} stands for any value: ids and times.
  */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConformanceTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String ANY_VALUE = "*";
 
     @TempDir
     private static Path folder;
@@ -47,90 +48,94 @@
                         ConformanceTest.class.getResource("/conformance").toURI())
                 .listFiles((dir, name) -> name.endsWith(".json") && name.contains("-from-" + engines + "-"));
         Arrays.sort(files);
-        StringBuilder faults = new StringBuilder();
+        StringBuilder report = new StringBuilder();
         try (RunningGateway gateway = RunningGateway.builder().chatFront(state).start()) {
             for (File file : files) {
-                JsonNode recorded = JSON.readTree(file);
-                String fault = fault(gateway, recorded);
-                passed += fault == null ? 1 : 0;
-                failed += fault == null ? 0 : 1;
-                faults.append(fault == null ? "" : file.getName() + ": " + fault + "\n");
+                Optional<String> difference = replay(gateway, JSON.readTree(file));
+                passed += difference.isEmpty() ? 1 : 0;
+                failed += difference.isPresent() ? 1 : 0;
+                difference.ifPresent(text -> report.append(file.getName() + ": " + text + "\n"));
             }
         }
-        assertEquals("", faults.toString());
+        assertEquals("", report.toString());
     }
 
-    /** What differs first; null where nothing does. */
-    private static String fault(RunningGateway gateway, JsonNode recorded) throws Exception {
-        String request = recorded.get("request").toString();
+    /** Sends a recorded request; tells how the answer differs from the recorded one first. */
+    private static Optional<String> replay(RunningGateway gateway, JsonNode recorded) throws IOException {
         try (TestClient client = new TestClient(gateway.chatPort)) {
-            byte[] body = request.getBytes(StandardCharsets.UTF_8);
-            client.socket
-                    .getOutputStream()
-                    .write(("POST " + recorded.get("path").asText() + " HTTP/1.1\r\n"
-                                    + "Host: x\r\nAuthorization: Bearer secret\r\nContent-Length: " + body.length
-                                    + "\r\n\r\n")
-                            .getBytes(StandardCharsets.UTF_8));
-            client.socket.getOutputStream().write(body);
+            client.send(
+                    "POST",
+                    recorded.get("path").asText(),
+                    ChatGatewayExtension.BEARER_KEY,
+                    recorded.get("request").toString());
             if (!client.readHead()) {
-                return "no answer";
+                return Optional.of("no answer");
             }
             String answer = client.readBody();
             if (client.status != recorded.get("status").asInt()) {
-                return "status " + client.status + ": " + answer;
+                return Optional.of("status " + client.status + ": " + answer);
             }
             return recorded.has("answer")
-                    ? differs("", recorded.get("answer"), JSON.readTree(answer))
-                    : differs("", recorded.get("events"), events(answer));
+                    ? difference("", recorded.get("answer"), JSON.readTree(answer))
+                    : difference("", recorded.get("events"), events(answer));
         }
     }
 
-    private static ArrayNode events(String stream) throws Exception {
+    private static ArrayNode events(String stream) throws IOException {
         ArrayNode events = JSON.createArrayNode();
         for (String line : stream.split("\n")) {
             if (line.equals("data: [DONE]")) {
                 events.add("[DONE]");
             } else if (line.startsWith("data: ")) {
-                events.add(JSON.readTree(line.substring(6)));
+                events.add(JSON.readTree(line.substring("data: ".length())));
             }
         }
         return events;
     }
 
-    private static String differs(String at, JsonNode recorded, JsonNode now) {
-        if (recorded.isTextual() && recorded.asText().equals("*")) {
-            return now.isValueNode() && !now.isNull() ? null : at + " is missing";
+    private static Optional<String> difference(String path, JsonNode recorded, JsonNode actual) {
+        if (recorded.isTextual() && recorded.asText().equals(ANY_VALUE)) {
+            return actual.isValueNode() && !actual.isNull() ? Optional.empty() : Optional.of(path + " is missing");
         }
-        if (recorded.isArray() && now.isArray()) {
-            for (int i = 0; i < Math.max(recorded.size(), now.size()); i++) {
-                if (i >= recorded.size() || i >= now.size()) {
-                    return at + " has " + now.size() + " in place of " + recorded.size() + ": " + now;
-                }
-                String inner = differs(at + "/" + i, recorded.get(i), now.get(i));
-                if (inner != null) {
-                    return inner;
-                }
+        if (recorded.isArray() && actual.isArray()) {
+            return differenceOfArrays(path, recorded, actual);
+        }
+        if (recorded.isObject() && actual.isObject()) {
+            return differenceOfObjects(path, recorded, actual);
+        }
+        return recorded.equals(actual) ? Optional.empty() : Optional.of(path + " is " + actual + ", not " + recorded);
+    }
+
+    private static Optional<String> differenceOfArrays(String path, JsonNode recorded, JsonNode actual) {
+        for (int i = 0; i < Math.max(recorded.size(), actual.size()); i++) {
+            if (i >= recorded.size() || i >= actual.size()) {
+                return Optional.of(path + " has " + actual.size() + " in place of " + recorded.size() + ": " + actual);
+            }
+            Optional<String> difference = difference(path + "/" + i, recorded.get(i), actual.get(i));
+            if (difference.isPresent()) {
+                return difference;
             }
-            return null;
         }
-        if (recorded.isObject() && now.isObject()) {
-            TreeSet<String> names = new TreeSet<>();
-            for (JsonNode each : List.of(recorded, now)) {
-                for (Iterator<String> name = each.fieldNames(); name.hasNext(); ) {
-                    names.add(name.next());
-                }
+        return Optional.empty();
+    }
+
+    private static Optional<String> differenceOfObjects(String path, JsonNode recorded, JsonNode actual) {
+        Set<String> names = new TreeSet<>();
+        recorded.fieldNames().forEachRemaining(names::add);
+        actual.fieldNames().forEachRemaining(names::add);
+        for (String name : names) {
+            String field = path + "/" + name;
+            if (!recorded.has(name)) {
+                return Optional.of(field + " should not be there: " + actual);
+            }
+            if (!actual.has(name)) {
+                return Optional.of(field + " is missing in " + actual);
             }
-            for (String name : names) {
-                if (!recorded.has(name) || !now.has(name)) {
-                    return at + "/" + name + (now.has(name) ? " should not be there: " : " is missing in ") + now;
-                }
-                String inner = differs(at + "/" + name, recorded.get(name), now.get(name));
-                if (inner != null) {
-                    return inner;
-                }
+            Optional<String> difference = difference(field, recorded.get(name), actual.get(name));
+            if (difference.isPresent()) {
+                return difference;
             }
-            return null;
         }
-        return recorded.equals(now) ? null : at + " is " + now + ", not " + recorded;
+        return Optional.empty();
     }
 }
--- a/src/test/java/dunlinladder/it/TestClient.java
+++ b/src/test/java/dunlinladder/it/TestClient.java
@@ -4,6 +4,7 @@
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
 /** One connection of a client to the gateway, and the head of the response that was read last. */
@@ -23,11 +24,11 @@
 
     /** Sends a request; {@code headerLines} end with a line break each. */
     TestClient send(String method, String target, String headerLines, String body) throws IOException {
+        int length = body.getBytes(StandardCharsets.UTF_8).length;
         RawHttp.write(
                 socket.getOutputStream(),
-                method + " " + target + " HTTP/1.1\r\nHost: x\r\n"
-                        + headerLines
-                        + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                method + " " + target + " HTTP/1.1\r\nHost: x\r\n" + headerLines + "Content-Length: " + length
+                        + "\r\n\r\n" + body);
         return this;
     }
 
