--- a/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
+++ b/src/test/java/dunlinladder/lifecycle/GatewayConfigTest.java
@@ -7,7 +7,7 @@
 import dunlinladder.transport.discovery.EndpointListReader;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
-import dunlinladder.transport.simulator.SettingsReader;
+import dunlinladder.transport.settings.UnknownSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -16,6 +16,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import net.jqwik.api.Arbitraries;
@@ -48,19 +49,19 @@
 
     private GatewayConfig read(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), text);
-        return GatewayConfig.read(Map.of("RELAY_CONFIG", file.toString()));
+        return GatewayConfigReader.read(Map.of("RELAY_CONFIG", file.toString()));
     }
 
     @Test
-    void whatIsAbsentGetsADefaultAndWhatIsNotKnownIsLeftAside() throws IOException {
+    void absentFieldsGetDefaultsAndUnknownFieldsAreLeftAside() throws IOException {
         GatewayConfig config = read(FILE.replace("\"balancers\"", "\"later\":{\"x\":1},\"balancers\""));
         assertEquals(List.of(4.0, 10.0), config.deadlines());
         assertEquals(1, config.limits().retryAfterSeconds());
         GatewayConfig unzoned = read(FILE.replace("[\"a\",\"b\"]", "[]").replace("\"zone\":1", "\"zone\":0"));
         assertEquals(
                 0,
-                new EndpointListReader(unzoned.zones(), unzoned.kinds())
-                        .read(unzoned.known(), true)
+                new EndpointListReader(unzoned.names().zones(), unzoned.names().kinds())
+                        .read(unzoned.discovery().cachedList().orElseThrow(), true)
                         .engines()
                         .get(0)
                         .zone());
@@ -70,12 +71,12 @@
                                 .replace("\"objective\":1", "\"objective\":1,\"odd\":2"),
                         "c")
                 .child("settings");
-        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"), SettingsReader.unknown(settings));
+        assertEquals(List.of("c.settings.rules.warm", "c.settings.classes[1].odd"), UnknownSettings.find(settings));
     }
 
     /** The decisions see no name of a class, tenant, zone or kind: the same settings, and the same list. */
     @Test
-    void namesChangeNothingThatDecides() throws IOException {
+    void settingsAndEndpointsAreTheSameWhenTheNamesDiffer() throws IOException {
         String renamed = FILE.replace("[\"a\",\"b\"]", "[\"b\",\"\u4e16\"]")
                 .replace("\"site\":\"a\"", "\"site\":\"b\"")
                 .replace("\"one\"", "\"read\"")
@@ -85,11 +86,13 @@
                 .replace("\"t\"", "\"a\"");
         GatewayConfig first = read(FILE);
         GatewayConfig second = read(renamed);
-        assertEquals(first.settings(), second.settings());
+        assertEquals(first.routing(), second.routing());
         assertEquals(
-                new EndpointListReader(first.zones(), first.kinds()).read(first.known(), true),
-                new EndpointListReader(second.zones(), second.kinds()).read(second.known(), true));
-        assertEquals(List.of("y y", "x"), second.classes());
+                new EndpointListReader(first.names().zones(), first.names().kinds())
+                        .read(first.discovery().cachedList().orElseThrow(), true),
+                new EndpointListReader(second.names().zones(), second.names().kinds())
+                        .read(second.discovery().cachedList().orElseThrow(), true));
+        assertEquals(List.of("y y", "x"), second.names().classes());
     }
 
     /** What is first gives way to what is second; the message names what is third. */
@@ -142,10 +145,11 @@
                 "\"health\":\"active\"|\"health\":\"well\"|health",
                 "{\"listen\"|[{\"listen\"|not a JSON object"
             })
-    void whatIsWrongIsNamed(String part, String instead, String named) throws IOException {
+    void faultIsReportedWithItsKey(String part, String instead, String named) throws IOException {
         assertTrue(FILE.contains(part), part);
         String text = FILE.replaceFirst(Pattern.quote(part), Matcher.quoteReplacement(instead == null ? "" : instead));
-        InvalidInputException error = assertThrows(InvalidInputException.class, () -> new Gateway(read(text), null));
+        InvalidInputException error =
+                assertThrows(InvalidInputException.class, () -> new Gateway(read(text), Optional.empty()));
         assertTrue(error.getMessage().contains(named), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
@@ -174,7 +178,7 @@
 
     /** Whatever the names and however many, a gateway starts from the settings and says that it is up. */
     @Property(tries = 8)
-    void drawnSettingsServe(
+    void gatewayServesWhateverTheNamesAre(
             @ForAll("names") List<String> classes,
             @ForAll("names") List<String> tenants,
             @ForAll("names") List<String> zones,
@@ -197,10 +201,10 @@
                         .map(name -> "{\"name\":" + quoted(name) + "}")
                         .toList()
                 + ",\"family-info\":{\"role-by-kind\":" + roles + "}}}";
-        GatewayConfig config = GatewayConfig.read(JsonObject.parse(text), Map.of());
-        assertEquals(classes, config.classes());
-        assertEquals(tenants, config.tenants());
-        Gateway gateway = new Gateway(config, null);
+        GatewayConfig config = GatewayConfigReader.read(JsonObject.parse(text), Map.of());
+        assertEquals(classes, config.names().classes());
+        assertEquals(tenants, config.names().tenants());
+        Gateway gateway = new Gateway(config, Optional.empty());
         try (Socket client = new Socket()) {
             client.connect(new InetSocketAddress("127.0.0.1", gateway.start()));
             client.getOutputStream().write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
