--- a/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
+++ b/src/main/java/dunlinladder/transport/simulator/SettingsReader.java
@@ -1,6 +1,9 @@
 package dunlinladder.transport.simulator;
 
 import dunlinladder.routing.RoutingSettings;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
 import java.util.ArrayList;
@@ -91,15 +94,8 @@
     public static RoutingSettings read(JsonObject info) {
         JsonObject caps = info.childOrEmpty("caps");
         JsonObject family = info.childOrEmpty("family-info");
-        List<RoutingSettings.Role> roles = family.choices(
-                "role-by-kind",
-                Map.of(
-                        "read",
-                        RoutingSettings.Role.PREFILL,
-                        "write",
-                        RoutingSettings.Role.DECODE,
-                        "both",
-                        RoutingSettings.Role.MIXED));
+        List<Role> roles =
+                family.choices("role-by-kind", Map.of("read", Role.PREFILL, "write", Role.DECODE, "both", Role.MIXED));
         // The simulator's drills name neither kinds nor zones; a gateway cannot read its list without.
         if (info.has("kinds") && roles.size() != info.names("kinds").size()) {
             throw new InvalidInputException(family.where() + ".role-by-kind has " + roles.size() + " entries for "
@@ -160,26 +156,12 @@
         for (JsonObject entry : entries) {
             int index = classes.size();
             // Where nothing is said of repeats, none is safe.
-            RoutingSettings.Effect effect = entry.choice(
+            Effect effect = entry.choice(
                     "semantics",
-                    RoutingSettings.Effect.UNSAFE,
-                    Map.of(
-                            "safe",
-                            RoutingSettings.Effect.SAFE,
-                            "keyed",
-                            RoutingSettings.Effect.KEYED,
-                            "unsafe",
-                            RoutingSettings.Effect.UNSAFE));
-            RoutingSettings.Group group = entry.choice(
-                    "group",
-                    RoutingSettings.Group.CELL,
-                    Map.of(
-                            "all",
-                            RoutingSettings.Group.ALL,
-                            "zone",
-                            RoutingSettings.Group.ZONE,
-                            "cell",
-                            RoutingSettings.Group.CELL));
+                    Effect.UNSAFE,
+                    Map.of("safe", Effect.SAFE, "keyed", Effect.KEYED, "unsafe", Effect.UNSAFE));
+            Group group =
+                    entry.choice("group", Group.CELL, Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL));
             entry.number("objective");
             classes.add(new RoutingSettings.ServiceClass(
                     entry.number("objective", 0, Double.MIN_VALUE, MOST),
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hand-made events for one router: a list of servers, a clock, and what the module asked for. */
+/** Hand-made events for one router: its endpoints, a clock, and what the router asked for. */
 final class Fleet {
 
     final List<RoutingAction> all = new ArrayList<>();
     final List<RoutingAction.Forward> sent = new ArrayList<>();
     RoutingSettings settings = settings(Effect.SAFE, Group.ALL);
-    private final Map<String, RoutingEvent.Endpoint> members = new LinkedHashMap<>();
+    private final Map<String, RoutingEvent.Endpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Map<String, RoutingAction.Forward> latest = new LinkedHashMap<>();
     private final Map<String, Double> sentAt = new HashMap<>();
@@ -58,20 +58,20 @@
     }
 
     private Fleet among(int balancers, boolean retryAfter) {
-        RoutingSettings s = settings;
+        RoutingSettings before = settings;
         settings = new RoutingSettings(
                 balancers,
-                s.zone(),
-                s.classes(),
-                s.quotas(),
-                s.roleByKind(),
-                s.kvTokens(),
-                s.maxAttempts(),
-                s.readInPlace(),
+                before.zone(),
+                before.classes(),
+                before.quotas(),
+                before.roleByKind(),
+                before.kvTokens(),
+                before.maxAttempts(),
+                before.readInPlace(),
                 retryAfter,
-                s.maxRetryAfter(),
-                s.listOnRequest(),
-                s.rules());
+                before.maxRetryAfter(),
+                before.listOnRequest(),
+                before.rules());
         return this;
     }
 
@@ -98,7 +98,7 @@
                 RoutingEvent.Request.ANY_ENGINE)));
     }
 
-    /** A request of 200 tokens behind a beginning of so many. */
+    /** A request of 200 tokens behind a prefix of so many. */
     void opening(String id, long prefix, double tokens) {
         handle(new RoutingEvent.RequestArrived(new RoutingEvent.Request(
                 id,
@@ -117,7 +117,7 @@
         sentAt.putIfAbsent(id, now);
     }
 
-    /** Ends every attempt that is still out with a time-out. */
+    /** Ends every attempt in flight with a time-out. */
     void drainAttempts() {
         for (String id : List.copyOf(latest.keySet())) {
             for (int attempt = 0; attempt < attempts.get(id); attempt++) {
@@ -127,38 +127,40 @@
         }
     }
 
-    /** Starts the module afresh, with the list as it stands. */
+    /** Starts the router afresh, with the endpoints as they stand. */
     Fleet restartRouter() {
         router = new RoutingPolicy(settings, 1);
         return listed();
     }
 
     Fleet with(String id, int cell, Role role) {
-        members.put(id, new RoutingEvent.Endpoint(id, 0, role.ordinal(), cell, Lifecycle.ACTIVE, 1, 0));
+        endpoints.put(id, new RoutingEvent.Endpoint(id, 0, role.ordinal(), cell, Lifecycle.ACTIVE, 1, 0));
         return this;
     }
 
     Fleet listed() {
-        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.COMPLETE, List.copyOf(members.values())));
+        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.COMPLETE, List.copyOf(endpoints.values())));
         return this;
     }
 
     Fleet drain(String id) {
-        RoutingEvent.Endpoint m = members.get(id);
-        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEAVING, 1, m.startedAt()));
+        RoutingEvent.Endpoint listed = endpoints.get(id);
+        return change(new RoutingEvent.Endpoint(
+                id, listed.zone(), listed.kind(), listed.cell(), Lifecycle.LEAVING, 1, listed.startedAt()));
     }
 
     Fleet leave(String id) {
-        RoutingEvent.Endpoint m = members.get(id);
-        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.LEFT, 1, m.startedAt()));
+        RoutingEvent.Endpoint listed = endpoints.get(id);
+        return change(new RoutingEvent.Endpoint(
+                id, listed.zone(), listed.kind(), listed.cell(), Lifecycle.LEFT, 1, listed.startedAt()));
     }
 
     Fleet without(String id) {
-        members.remove(id);
+        endpoints.remove(id);
         return this;
     }
 
-    /** How many servers, sessions and shared beginnings the module holds. */
+    /** How many engines, sessions and shared prefixes the router remembers. */
     String remembered() {
         PolicyContext context = router.context;
         PrefixCacheIndex cache = context.prefixCache;
@@ -166,32 +168,33 @@
     }
 
     Fleet restart(String id) {
-        RoutingEvent.Endpoint m = members.get(id);
-        return change(new RoutingEvent.Endpoint(id, m.zone(), m.kind(), m.cell(), Lifecycle.ACTIVE, 1, now));
+        RoutingEvent.Endpoint listed = endpoints.get(id);
+        return change(
+                new RoutingEvent.Endpoint(id, listed.zone(), listed.kind(), listed.cell(), Lifecycle.ACTIVE, 1, now));
     }
 
-    private Fleet change(RoutingEvent.Endpoint member) {
-        members.put(member.engine(), member);
-        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(member)));
+    private Fleet change(RoutingEvent.Endpoint endpoint) {
+        endpoints.put(endpoint.engine(), endpoint);
+        handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(endpoint)));
         return this;
     }
 
-    int cell(String worker) {
-        return members.get(worker).cell();
+    int cell(String engine) {
+        return endpoints.get(engine).cell();
     }
 
     void handle(RoutingEvent event) {
         for (RoutingAction action : router.handle(now, event)) {
             all.add(action);
-            if (action instanceof RoutingAction.Forward send) {
-                sent.add(send);
-                latest.put(send.id(), send);
-                sentAt.put(send.id(), now);
-                attempts.merge(send.id(), 1, Integer::sum);
+            if (action instanceof RoutingAction.Forward forward) {
+                sent.add(forward);
+                latest.put(forward.id(), forward);
+                sentAt.put(forward.id(), now);
+                attempts.merge(forward.id(), 1, Integer::sum);
             } else if (action instanceof RoutingAction.SetTimer timer) {
                 timers.add(new double[] {now + timer.delay(), timer.token()});
-            } else if (action instanceof RoutingAction.Reject refuse) {
-                finalAt.put(refuse.id(), now);
+            } else if (action instanceof RoutingAction.Reject reject) {
+                finalAt.put(reject.id(), now);
             } else if (action instanceof RoutingAction.Fail fail) {
                 finalAt.put(fail.id(), now);
             }
@@ -230,7 +233,7 @@
     }
 
     /** Where a request was sent last. */
-    String worker(String id) {
+    String engine(String id) {
         return latest.get(id).engine();
     }
 
@@ -285,7 +288,7 @@
         return from
                 + (int) sent.stream()
                         .skip(from)
-                        .filter(send -> members.get(send.engine()).kind() != Role.PREFILL.ordinal())
+                        .filter(forward -> endpoints.get(forward.engine()).kind() != Role.PREFILL.ordinal())
                         .count();
     }
 
--- a/src/test/java/dunlinladder/routing/FleetRulesTest.java
+++ b/src/test/java/dunlinladder/routing/FleetRulesTest.java
@@ -71,7 +71,7 @@
                                     4),
                             gateways)
                     .play(40);
-            assertEquals(List.of(), fleet.broken());
+            assertEquals(List.of(), fleet.violations());
             assertTrue(
                     fleet.served > (load < 0.6 ? 0.9 : 0.5) * fleet.requests, fleet.served + " of " + fleet.requests);
         }
@@ -116,7 +116,7 @@
                         .returning(6, 2)
                         .restarting(9.5, 0.5)
                         .play(25);
-                assertEquals(List.of(), fleet.broken());
+                assertEquals(List.of(), fleet.violations());
                 fullest = Math.max(fullest, fleet.fullest);
             }
         }
@@ -144,7 +144,7 @@
                                     1e9),
                             seed)
                     .play(60);
-            assertEquals(List.of(), fleet.broken());
+            assertEquals(List.of(), fleet.violations());
             for (int type = 0; type < 2; type++) {
                 double[] shares = fleet.sharesOf(type);
                 assertTrue(shares[0] > (load < 1 ? 0.95 : 0.3), "of class " + type + " " + shares[0]);
@@ -185,6 +185,6 @@
                                 3),
                         seed)
                 .play(15);
-        assertEquals(List.of(), fleet.broken());
+        assertEquals(List.of(), fleet.violations());
     }
 }
--- a/src/test/java/dunlinladder/routing/GoldenFleet.java
+++ b/src/test/java/dunlinladder/routing/GoldenFleet.java
@@ -46,7 +46,7 @@
     private static final double OUTAGE_FROM = 42;
     private static final double OUTAGE_TO = 43.5;
 
-    private record Due(double at, long number, Runnable task) {}
+    private record ScheduledTask(double at, long number, Runnable task) {}
 
     private static final class Engine {
         String id;
@@ -60,10 +60,10 @@
         double connectsAt;
     }
 
-    private static final class Call {
+    private static final class ClientRequest {
         int gateway;
         RoutingEvent.Request request;
-        Engine holder;
+        Engine cacheEngine;
         int sends;
         boolean out;
         boolean begun;
@@ -76,9 +76,9 @@
     private final Random random;
     private final List<Router> gateways = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
-    private final Map<String, Call> calls = new HashMap<>();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+    private final Map<String, ClientRequest> clientRequests = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::number));
     private final double start = 1000;
     private double now = start;
     private long number;
@@ -118,14 +118,14 @@
             in(at, this::news);
         }
         while (!queue.isEmpty() && queue.peek().at < end + 20) {
-            Due due = queue.poll();
+            ScheduledTask due = queue.poll();
             now = due.at;
             due.task.run();
         }
     }
 
     private void in(double delay, Runnable task) {
-        queue.add(new Due(now + Math.max(0, delay), number++, task));
+        queue.add(new ScheduledTask(now + Math.max(0, delay), number++, task));
     }
 
     private boolean chance(double share) {
@@ -173,42 +173,42 @@
                 20 + random.nextInt(300),
                 false,
                 false,
-                worker -> any || Integer.parseInt(worker.substring(1)) % 3 != part);
+                engine -> any || Integer.parseInt(engine.substring(1)) % 3 != part);
         call(random.nextInt(gateways.size()), request);
     }
 
     private void call(int gateway, RoutingEvent.Request request) {
-        Call call = new Call();
-        call.gateway = gateway;
-        call.request = request;
-        calls.put(request.id(), call);
+        ClientRequest clientRequest = new ClientRequest();
+        clientRequest.gateway = gateway;
+        clientRequest.request = request;
+        clientRequests.put(request.id(), clientRequest);
         handle(gateway, new RoutingEvent.RequestArrived(request));
         if (chance(0.03)) {
             in(random.nextDouble() * 2, () -> handle(gateway, new RoutingEvent.RequestArrived(request)));
         }
         if (chance(0.04)) {
-            in(random.nextDouble() * 1.5, () -> leave(call));
+            in(random.nextDouble() * 1.5, () -> leave(clientRequest));
         }
     }
 
-    private void leave(Call call) {
-        if (!call.done) {
-            call.done = true;
-            handle(call.gateway, new RoutingEvent.ClientDisconnected(call.request.id()));
+    private void leave(ClientRequest clientRequest) {
+        if (!clientRequest.done) {
+            clientRequest.done = true;
+            handle(clientRequest.gateway, new RoutingEvent.ClientDisconnected(clientRequest.request.id()));
         }
     }
 
     /** A client whose request was refused or failed may ask again, as a new request or the same one. */
     private void answered(String id, double after) {
-        Call call = calls.get(id);
-        call.done = true;
-        RoutingEvent.Request r = call.request;
+        ClientRequest clientRequest = clientRequests.get(id);
+        clientRequest.done = true;
+        RoutingEvent.Request r = clientRequest.request;
         if (chance(0.3)) {
             boolean same = chance(0.5);
             in(
                     0.05 + after,
                     () -> call(
-                            call.gateway,
+                            clientRequest.gateway,
                             new RoutingEvent.Request(
                                     same ? id : id + "r",
                                     r.serviceClass(),
@@ -231,14 +231,14 @@
     private void handle(int gateway, RoutingEvent event) {
         for (RoutingAction action : gateways.get(gateway).handle(now, event)) {
             seen.accept(gateway, action);
-            if (action instanceof RoutingAction.Forward send) {
-                send(calls.get(send.id()), send);
-            } else if (action instanceof RoutingAction.Reject refuse) {
-                answered(refuse.id(), refuse.retryAfter());
+            if (action instanceof RoutingAction.Forward forward) {
+                send(clientRequests.get(forward.id()), forward);
+            } else if (action instanceof RoutingAction.Reject reject) {
+                answered(reject.id(), reject.retryAfter());
             } else if (action instanceof RoutingAction.Fail fail) {
                 answered(fail.id(), 0.2);
             } else if (action instanceof RoutingAction.ReleaseCache release) {
-                calls.get(release.id()).holder = null;
+                clientRequests.get(release.id()).cacheEngine = null;
             } else if (action instanceof RoutingAction.SetTimer timer) {
                 in(timer.delay(), () -> handle(gateway, new RoutingEvent.TimerFired(timer.token())));
             } else if (action instanceof RoutingAction.WatchEndpoints) {
@@ -251,12 +251,12 @@
         list(gateway, chance(0.3) ? Scope.FAILED : Scope.COMPLETE, engines);
     }
 
-    private void send(Call call, RoutingAction.Forward send) {
-        Engine engine = engines.get(Integer.parseInt(send.engine().substring(1)));
-        Try attempt = new Try(call, engine, call.sends++, now);
-        call.out = true;
-        double left = call.request.expires() - 0.03 - now;
-        double limit = send.timeout() > 0 ? Math.min(send.timeout(), left) : left;
+    private void send(ClientRequest clientRequest, RoutingAction.Forward forward) {
+        Engine engine = engines.get(Integer.parseInt(forward.engine().substring(1)));
+        Try attempt = new Try(clientRequest, engine, clientRequest.sends++, now);
+        clientRequest.out = true;
+        double left = clientRequest.request.expires() - 0.03 - now;
+        double limit = forward.timeout() > 0 ? Math.min(forward.timeout(), left) : left;
         boolean outage = now > start + OUTAGE_FROM && now < start + OUTAGE_TO;
         if (!engine.up || outage || now < engine.connectsAt || chance(0.01)) {
             in(chance(0.4) ? Math.min(limit, 0.25) : 0.002, () -> ended(attempt, Status.CONNECT_FAILED, 0));
@@ -271,7 +271,7 @@
         }
     }
 
-    private record Try(Call call, Engine engine, int number, double at) {}
+    private record Try(ClientRequest clientRequest, Engine engine, int number, double at) {}
 
     // ---- Engines ----
 
@@ -282,7 +282,7 @@
 
     private void read(Try attempt, double limit) {
         Engine engine = attempt.engine;
-        RoutingEvent.Request request = attempt.call.request;
+        RoutingEvent.Request request = attempt.clientRequest.request;
         double found = chance(0.5) ? request.prefixTokens() * random.nextDouble() : 0;
         engine.freeAt =
                 Math.max(now, engine.freeAt) + (request.promptTokens() - found) / 1000 * figures.read / speed(engine);
@@ -293,15 +293,15 @@
         }
         in(engine.freeAt - now, () -> {
             boolean well = engine.up && engine.born == born && !chance(0.01);
-            attempt.call.holder = well && attempt.call.out ? engine : null;
+            attempt.clientRequest.cacheEngine = well && attempt.clientRequest.out ? engine : null;
             ended(attempt, well ? Status.PREFILLED : chance(0.5) ? Status.RESET : Status.ERROR, well ? found : 0);
         });
     }
 
     private void write(Try attempt, double limit) {
         Engine engine = attempt.engine;
-        Call call = attempt.call;
-        boolean held = call.holder != null && call.holder.up && !chance(0.01);
+        ClientRequest clientRequest = attempt.clientRequest;
+        boolean held = clientRequest.cacheEngine != null && clientRequest.cacheEngine.up && !chance(0.01);
         if (role(engine) == Role.DECODE && !held && !settings.readInPlace()) {
             in(0.005, () -> ended(attempt, Status.FULL, 1));
         } else if (engine.running >= figures.slots) {
@@ -310,7 +310,7 @@
             stream(
                     attempt,
                     limit,
-                    0.03 + (held ? 0.02 : call.request.promptTokens() / 1000 * figures.read) / speed(engine));
+                    0.03 + (held ? 0.02 : clientRequest.request.promptTokens() / 1000 * figures.read) / speed(engine));
         }
     }
 
@@ -331,31 +331,31 @@
                 () -> ended(
                         attempt,
                         status,
-                        status == Status.OK ? attempt.call.request.prefixTokens() * random.nextDouble() : 0));
+                        status == Status.OK ? attempt.clientRequest.request.prefixTokens() * random.nextDouble() : 0));
     }
 
     private void begin(Try attempt) {
-        Call call = attempt.call;
-        if (call.done || !call.out) {
+        ClientRequest clientRequest = attempt.clientRequest;
+        if (clientRequest.done || !clientRequest.out) {
             return;
         }
-        call.begun = true;
+        clientRequest.begun = true;
         RoutingEvent.FirstTokenReceived first = new RoutingEvent.FirstTokenReceived(
-                call.request.id(), attempt.number, attempt.engine.id, now - attempt.at);
-        handle(call.gateway, first);
+                clientRequest.request.id(), attempt.number, attempt.engine.id, now - attempt.at);
+        handle(clientRequest.gateway, first);
         if (chance(0.02)) {
-            handle(call.gateway, first);
+            handle(clientRequest.gateway, first);
         }
     }
 
     private void ended(Try attempt, Status status, double note) {
-        Call call = attempt.call;
-        Status told = call.done && status != Status.PREFILLED && chance(0.3) ? Status.CANCELLED : status;
-        boolean closed = call.done || call.begun || told == Status.OK;
-        call.out = false;
-        call.done |= closed;
+        ClientRequest clientRequest = attempt.clientRequest;
+        Status told = clientRequest.done && status != Status.PREFILLED && chance(0.3) ? Status.CANCELLED : status;
+        boolean closed = clientRequest.done || clientRequest.begun || told == Status.OK;
+        clientRequest.out = false;
+        clientRequest.done |= closed;
         RoutingEvent.AttemptEnded outcome = new RoutingEvent.AttemptEnded(
-                call.request.id(),
+                clientRequest.request.id(),
                 attempt.number,
                 attempt.engine.id,
                 told,
@@ -363,9 +363,9 @@
                 closed,
                 note,
                 report(attempt.engine));
-        handle(call.gateway, outcome);
+        handle(clientRequest.gateway, outcome);
         if (chance(0.02)) {
-            in(random.nextDouble(), () -> handle(call.gateway, outcome));
+            in(random.nextDouble(), () -> handle(clientRequest.gateway, outcome));
         }
     }
 
--- a/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -31,9 +31,9 @@
     @Test
     void readsThenPullsInTheReadersCell() {
         Fleet fleet = pair();
-        String reader = fleet.arrive("a").engine();
+        String prefillEngine = fleet.arrive("a").engine();
         fleet.outcome("a", Status.PREFILLED);
-        assertEquals(reader.replace('r', 'w'), fleet.lastSend().engine());
+        assertEquals(prefillEngine.replace('r', 'w'), fleet.lastSend().engine());
         fleet.first("a");
         fleet.outcome("a", Status.OK);
         assertEquals(0, fleet.finals("a"));
@@ -49,10 +49,10 @@
     @Test
     void keptSessionIsPreferredWhenNotClearlyBusier() {
         Fleet fleet = pair();
-        String reader = fleet.arrive("a", 7).engine();
+        String prefillEngine = fleet.arrive("a", 7).engine();
         fleet.serve("a");
         for (int i = 0; i < 5; i++) {
-            assertEquals(reader, fleet.arrive("b" + i, 7).engine());
+            assertEquals(prefillEngine, fleet.arrive("b" + i, 7).engine());
             fleet.serve("b" + i);
         }
     }
@@ -82,13 +82,13 @@
             fleet.serve("a" + i);
         }
         fleet.shared("b", 9);
-        String reader = fleet.lastSend().engine();
+        String prefillEngine = fleet.lastSend().engine();
         int same = 0;
         for (int i = 0; i < 4; i++) {
             fleet.shared("c" + i, 9);
-            same += fleet.lastSend().engine().equals(reader) ? 1 : 0;
+            same += fleet.lastSend().engine().equals(prefillEngine) ? 1 : 0;
         }
-        assertTrue(same < 3, "at the same reader: " + same);
+        assertTrue(same < 3, "at the same prefillEngine: " + same);
     }
 
     /** A writer whose memory is full sends answers back to its queue: one with a stream more is better. */
@@ -147,13 +147,13 @@
                 fleet.run(0.02);
                 if (i >= 9 && i % 10 == 9) { // ten streams end together, those of the mixed server last
                     for (int j = i - 9; j <= i; j++) {
-                        if (!fleet.worker("a" + j).equals("m0")) {
+                        if (!fleet.engine("a" + j).equals("m0")) {
                             fleet.outcome("a" + j, Status.OK);
                         }
                     }
                     fleet.run(lasting - 0.2);
                     for (int j = i - 9; j <= i; j++) {
-                        if (fleet.worker("a" + j).equals("m0")) {
+                        if (fleet.engine("a" + j).equals("m0")) {
                             fleet.outcome("a" + j, Status.OK);
                         }
                     }
@@ -188,11 +188,11 @@
     /** What was sent lately is dropped as more is sent, whether or not anybody asks for it. */
     @Test
     void whatWasSentLatelyIsBounded() {
-        EngineState writer = new EngineState("w0");
+        EngineState decodeEngine = new EngineState("w0");
         for (int i = 0; i < 100; i++) {
-            writer.streamSent(new AttemptState(null, i, writer, AttemptState.Stage.DECODE, i));
+            decodeEngine.streamSent(new AttemptState(null, i, decodeEngine, AttemptState.Stage.DECODE, i));
         }
-        assertEquals(4, writer.streamsSinceReport.size());
+        assertEquals(4, decodeEngine.streamsSinceReport.size());
     }
 
     /** What was kept of an engine goes with it: it would grow with every engine that is replaced. */
@@ -253,9 +253,10 @@
             Fleet fleet = pair();
             fleet.arrive("a");
             fleet.outcome("a", Status.PREFILLED);
-            String writer = fleet.lastSend().engine();
+            String decodeEngine = fleet.lastSend().engine();
             fleet.outcome("a", status);
-            assertEquals(writer.equals("w0") ? "w1" : "w0", fleet.lastSend().engine(), status.name());
+            assertEquals(
+                    decodeEngine.equals("w0") ? "w1" : "w0", fleet.lastSend().engine(), status.name());
         }
     }
 
@@ -265,7 +266,7 @@
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
         fleet.outcome("a", Status.FULL, 1, false);
-        assertEquals(1, fleet.releases("a"), "a cut-off reader still holds it");
+        assertEquals(1, fleet.releases("a"), "a cut-off prefillEngine still holds it");
         assertTrue(fleet.lastSend().engine().startsWith("r"));
     }
 
@@ -274,10 +275,10 @@
         for (Status status : List.of(
                 Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = pair();
-            String reader = fleet.arrive("a").engine();
+            String prefillEngine = fleet.arrive("a").engine();
             fleet.outcome("a", status);
             assertEquals(
-                    reader.equals(NEAR_READER) ? FAR_READER : NEAR_READER,
+                    prefillEngine.equals(NEAR_READER) ? FAR_READER : NEAR_READER,
                     fleet.lastSend().engine());
         }
     }
@@ -396,7 +397,7 @@
                     .filter(send -> send.engine().equals("r1"))
                     .count();
         }
-        assertTrue(sent <= routers / 4, "sends to the cold reader: " + sent);
+        assertTrue(sent <= routers / 4, "sends to the cold prefillEngine: " + sent);
     }
 
     @Test
@@ -471,7 +472,7 @@
         }
         long cold =
                 fleet.sent.stream().filter(send -> send.engine().equals("r1")).count();
-        assertTrue(cold < 4, "sends to the cold reader: " + cold);
+        assertTrue(cold < 4, "sends to the cold prefillEngine: " + cold);
     }
 
     @Test
@@ -700,7 +701,7 @@
                 home += fleet.lastSend().engine().equals("w0") ? 1 : 0;
             }
         }
-        assertTrue(home > 0 && home < reads / 2, home + " of " + reads + " on the cell's one writer");
+        assertTrue(home > 0 && home < reads / 2, home + " of " + reads + " on the cell's one decodeEngine");
     }
 
     /** Many routers with the same popular beginning must not all send it to one reader. */
@@ -759,7 +760,7 @@
             }
             fleet.serve("a" + i);
         }
-        assertTrue(erring <= 6, "sends to the erring reader: " + erring);
+        assertTrue(erring <= 6, "sends to the erring prefillEngine: " + erring);
     }
 
     /**
--- a/src/test/java/dunlinladder/routing/VirtualFleet.java
+++ b/src/test/java/dunlinladder/routing/VirtualFleet.java
@@ -15,13 +15,13 @@
 
 /**
  * Several gateways that share nothing, their engines and their clients in virtual time: reads one at a time, streams
- * side by side, drains, crashes, cold starts, faults, late news. What the modules ask for is held against the rules as
- * it comes; whatever breaks one is noted with its time.
+ * side by side, drains, crashes, cold starts, faults, late updates. What the routers ask for is checked against the
+ * rules as it comes; whatever breaks one is noted with its time.
  */
 final class VirtualFleet {
 
     /** Before the client's deadline at which an attempt without a first token ends, as on sockets. */
-    private static final double ANSWER = 0.04;
+    private static final double ANSWER_MARGIN_SECONDS = 0.04;
 
     /**
      * What is played.
@@ -32,7 +32,7 @@
      * @param stream seconds that a stream takes
      * @param slots streams that an engine runs at once
      * @param faults share of attempts that end with an error, a reset or no connection
-     * @param newsDelay seconds by which news may come late, at most
+     * @param updateDelay seconds by which news may come late, at most
      * @param changes seconds between two drains or crashes
      */
     record Figures(
@@ -43,10 +43,10 @@
             double stream,
             int slots,
             double faults,
-            double newsDelay,
+            double updateDelay,
             double changes) {}
 
-    private record Due(double at, long number, Runnable task) {}
+    private record ScheduledTask(double at, long number, Runnable task) {}
 
     private static final class Engine {
         final String id;
@@ -65,7 +65,7 @@
         }
     }
 
-    private static final class Track {
+    private static final class ClientRequest {
         int gateway;
         int type;
         long session;
@@ -76,16 +76,19 @@
         int sends;
         int finals;
         boolean out;
-        boolean begun;
+        boolean streaming;
         boolean mayHaveRun;
         /** With its gateway, which was restarted. */
         boolean lost;
 
-        Engine holder;
-        double heldSince;
+        Engine cacheEngine;
+        double cacheWaitsSince;
     }
 
-    private final List<String> broken = new ArrayList<>();
+    /** One attempt, with its number, and when it was sent. */
+    private record Sent(RoutingAction.Forward forward, ClientRequest request, int attempt, double at) {}
+
+    private final List<String> violations = new ArrayList<>();
     int served;
     int requests;
     private final Figures figures;
@@ -93,13 +96,13 @@
     private final Random random;
     private final List<Router> gateways = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
-    private final Map<String, Track> tracks = new HashMap<>();
-    /** When each gateway was told that an engine drains or is gone. */
-    private final List<Map<String, Double>> told = new ArrayList<>();
+    private final Map<String, ClientRequest> clientRequests = new HashMap<>();
+    /** When each gateway was removedAt that an engine drains or is gone. */
+    private final List<Map<String, Double>> removedAt = new ArrayList<>();
 
-    private final double[] toldAt;
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+    private final double[] updatedAt;
+    private final PriorityQueue<ScheduledTask> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::number));
     private long number;
     private double now = 1000;
     /** Above 1 the first gateways see more than their part of the traffic. */
@@ -118,16 +121,16 @@
                 engines.add(new Engine("e" + engines.size(), kind, engines.size() % 3));
             }
         }
-        toldAt = new double[settings.balancers()];
+        updatedAt = new double[settings.balancers()];
         for (int i = 0; i < settings.balancers(); i++) {
             gateways.add(new RoutingPolicy(settings, seed + i));
-            told.add(new HashMap<>());
+            removedAt.add(new HashMap<>());
             handle(
                     i,
                     new RoutingEvent.EndpointsChanged(
                             RoutingEvent.Scope.COMPLETE,
                             engines.stream()
-                                    .map(e -> member(e, Lifecycle.ACTIVE))
+                                    .map(e -> endpoint(e, Lifecycle.ACTIVE))
                                     .toList()));
         }
     }
@@ -143,161 +146,167 @@
         }
         double last = end + 30;
         while (!queue.isEmpty() && queue.peek().at < last) {
-            Due due = queue.poll();
-            now = due.at;
-            due.task.run();
+            ScheduledTask task = queue.poll();
+            now = task.at;
+            task.task.run();
         }
-        tracks.forEach((id, track) -> check(track.finals == 1, id, "has " + track.finals + " final answers"));
+        clientRequests.forEach(
+                (id, request) -> check(request.finals == 1, id, "has " + request.finals + " final answers"));
         return this;
     }
 
-    /** The first rules that were broken, each with its time and request; empty where all held. */
-    List<String> broken() {
-        return broken.subList(0, Math.min(5, broken.size()));
+    /** The first rules that were violations, each with its time and request; empty where all held. */
+    List<String> violations() {
+        return violations.subList(0, Math.min(5, violations.size()));
     }
 
     /** The share of a class's requests that is served, and that of the tenth of them with the longest prompts. */
     double[] sharesOf(int type) {
-        List<Track> all = tracks.values().stream()
-                .filter(track -> track.type == type)
-                .sorted(Comparator.comparingDouble(track -> -track.tokens))
+        List<ClientRequest> all = clientRequests.values().stream()
+                .filter(request -> request.type == type)
+                .sorted(Comparator.comparingDouble(request -> -request.tokens))
                 .toList();
         return new double[] {shareServed(all), shareServed(all.subList(0, all.size() / 10))};
     }
 
-    private static double shareServed(List<Track> of) {
-        return of.stream().filter(track -> track.served).count() / (double) of.size();
+    private static double shareServed(List<ClientRequest> of) {
+        return of.stream().filter(request -> request.served).count() / (double) of.size();
     }
 
     /** The share of sessions none of whose requests was served, over what chance alone would give. */
     double shunned() {
         double missed = 1 - served / (double) requests;
-        Map<Long, List<Track>> sessions = tracks.values().stream().collect(Collectors.groupingBy(t -> t.session));
+        Map<Long, List<ClientRequest>> sessions =
+                clientRequests.values().stream().collect(Collectors.groupingBy(t -> t.session));
         double shunned = 0;
-        for (List<Track> session : sessions.values()) {
-            shunned += session.stream().noneMatch(track -> track.served) ? 1 : 0;
+        for (List<ClientRequest> session : sessions.values()) {
+            shunned += session.stream().noneMatch(request -> request.served) ? 1 : 0;
             shunned -= Math.pow(missed, session.size());
         }
         return shunned / sessions.size();
     }
 
     private void in(double delay, Runnable task) {
-        queue.add(new Due(now + delay, number++, task));
+        queue.add(new ScheduledTask(now + delay, number++, task));
     }
 
     private void check(boolean kept, String id, String what) {
         if (!kept) {
-            broken.add(String.format("%.3f %s %s", now - 1000, id, what));
+            violations.add(String.format("%.3f %s %s", now - 1000, id, what));
         }
     }
 
-    private RoutingEvent.Endpoint member(Engine engine, Lifecycle lifecycle) {
+    private RoutingEvent.Endpoint endpoint(Engine engine, Lifecycle lifecycle) {
         return new RoutingEvent.Endpoint(engine.id, 0, engine.kind, engine.cell, lifecycle, 1, engine.born);
     }
 
     // ---- Clients ----
 
     private void arrive() {
-        Track track = new Track();
+        ClientRequest request = new ClientRequest();
         String id = "q" + requests++;
         int type = random.nextInt(settings.classes().size());
-        track.gateway = (int) (gateways.size() * Math.pow(random.nextDouble(), skew));
-        track.type = type;
-        track.session = random.nextInt(200);
-        track.effect = settings.classes().get(type).effect();
-        track.tokens = 200 + random.nextInt(2000) * (random.nextInt(50) == 0 ? 10 : 1);
-        track.expires = now + 6;
-        tracks.put(id, track);
-        in(6, () -> check(track.finals > 0 || track.begun, id, "has no answer by its deadline"));
+        request.gateway = (int) (gateways.size() * Math.pow(random.nextDouble(), skew));
+        request.type = type;
+        request.session = random.nextInt(200);
+        request.effect = settings.classes().get(type).effect();
+        request.tokens = 200 + random.nextInt(2000) * (random.nextInt(50) == 0 ? 10 : 1);
+        request.expires = now + 6;
+        clientRequests.put(id, request);
+        in(6, () -> check(request.finals > 0 || request.streaming, id, "has no answer by its deadline"));
         handle(
-                track.gateway,
+                request.gateway,
                 new RoutingEvent.RequestArrived(new RoutingEvent.Request(
                         id,
                         type,
                         0,
-                        track.session,
-                        track.expires,
+                        request.session,
+                        request.expires,
                         0,
                         1 + random.nextInt(5),
-                        track.tokens,
+                        request.tokens,
                         100,
                         100,
                         false,
                         false,
                         RoutingEvent.Request.ANY_ENGINE)));
         if (random.nextInt(100) == 0) {
-            in(random.nextDouble() * 2, () -> leave(id, track));
+            in(random.nextDouble() * 2, () -> leave(id, request));
         }
     }
 
-    private void leave(String id, Track track) {
-        if (track.finals == 0 && !track.begun) {
-            track.finals++;
-            handle(track.gateway, new RoutingEvent.ClientDisconnected(id));
+    private void leave(String id, ClientRequest request) {
+        if (request.finals == 0 && !request.streaming) {
+            request.finals++;
+            handle(request.gateway, new RoutingEvent.ClientDisconnected(id));
         }
     }
 
     private void answered(String id) {
-        Track track = tracks.get(id);
-        track.finals++;
-        check(track.finals == 1, id, "is answered again");
-        check(now <= track.expires, id, "is answered late");
-        check(!track.out, id, "is answered with an attempt out");
+        ClientRequest request = clientRequests.get(id);
+        request.finals++;
+        check(request.finals == 1, id, "is answered again");
+        check(now <= request.expires, id, "is answered late");
+        check(!request.out, id, "is answered with an attempt out");
     }
 
     // ---- Gateways ----
 
     private void handle(int gateway, RoutingEvent event) {
         for (RoutingAction action : gateways.get(gateway).handle(now, event)) {
-            if (action instanceof RoutingAction.Forward send) {
-                send(gateway, send);
-            } else if (action instanceof RoutingAction.Reject refuse) {
-                Track track = tracks.get(refuse.id());
-                check(!(track.effect == Effect.UNSAFE && track.mayHaveRun), refuse.id(), "is refused, may have run");
-                answered(refuse.id());
+            if (action instanceof RoutingAction.Forward forward) {
+                send(gateway, forward);
+            } else if (action instanceof RoutingAction.Reject reject) {
+                ClientRequest request = clientRequests.get(reject.id());
+                check(
+                        !(request.effect == Effect.UNSAFE && request.mayHaveRun),
+                        reject.id(),
+                        "is refused, may have run");
+                answered(reject.id());
             } else if (action instanceof RoutingAction.Fail fail) {
                 answered(fail.id());
-            } else if (action instanceof RoutingAction.ReleaseCache release && !tracks.get(release.id()).out) {
-                tracks.get(release.id()).holder = null;
+            } else if (action instanceof RoutingAction.ReleaseCache release && !clientRequests.get(release.id()).out) {
+                clientRequests.get(release.id()).cacheEngine = null;
             } else if (action instanceof RoutingAction.SetTimer timer) {
                 in(timer.delay(), () -> handle(gateway, new RoutingEvent.TimerFired(timer.token())));
             }
         }
     }
 
-    private void send(int gateway, RoutingAction.Forward send) {
-        Track track = tracks.get(send.id());
+    private void send(int gateway, RoutingAction.Forward forward) {
+        ClientRequest request = clientRequests.get(forward.id());
         Engine engine = engines.stream()
-                .filter(e -> e.id.equals(send.engine()))
+                .filter(e -> e.id.equals(forward.engine()))
                 .findFirst()
                 .orElseThrow();
         Role role = settings.roleByKind().get(engine.kind);
-        check(track.finals == 0 && !track.begun, send.id(), "is sent after its end");
-        check(!track.out, send.id(), "is sent twice at once");
-        check(track.effect != Effect.UNSAFE || role == Role.PREFILL || !track.mayHaveRun, send.id(), "runs again");
-        check(track.sends < settings.maxAttempts(), send.id(), "is sent too often");
+        check(request.finals == 0 && !request.streaming, forward.id(), "is sent after its end");
+        check(!request.out, forward.id(), "is sent twice at once");
+        check(
+                request.effect != Effect.UNSAFE || role == Role.PREFILL || !request.mayHaveRun,
+                forward.id(),
+                "runs again");
+        check(request.sends < settings.maxAttempts(), forward.id(), "is sent too often");
         check(
-                now - told.get(gateway).getOrDefault(engine.id, now)
+                now - removedAt.get(gateway).getOrDefault(engine.id, now)
                         <= settings.rules().stopSendingWithin(),
-                send.id(),
+                forward.id(),
                 "goes to " + engine.id + ", which drains or is gone");
-        int attempt = track.sends++;
-        track.out = true;
-        double sentAt = now;
-        double limit =
-                send.timeout() > 0 ? Math.min(now + send.timeout(), track.expires - ANSWER) : track.expires - ANSWER;
+        Sent sent = new Sent(forward, request, request.sends++, now);
+        request.out = true;
+        double limit = forward.timeout() > 0
+                ? Math.min(now + forward.timeout(), request.expires - ANSWER_MARGIN_SECONDS)
+                : request.expires - ANSWER_MARGIN_SECONDS;
         if (!engine.up || random.nextDouble() < figures.faults / 3) {
             // A third of what is down says nothing, the rest refuses.
             boolean silent = random.nextInt(3) == 0;
-            in(
-                    silent ? Math.min(0.25, Math.max(0, limit - now)) : 0.001,
-                    () -> ended(send, track, attempt, sentAt, Status.CONNECT_FAILED, 0));
+            in(silent ? Math.min(0.25, Math.max(0, limit - now)) : 0.001, () -> ended(sent, Status.CONNECT_FAILED, 0));
         } else if (role == Role.PREFILL) {
             cold(engine);
-            read(send, track, attempt, engine, limit);
+            read(sent, engine, limit);
         } else {
             cold(engine);
-            write(send, track, attempt, engine, role, limit);
+            write(sent, engine, role, limit);
         }
     }
 
@@ -335,88 +344,98 @@
                 "is pushed over: " + engine.sends.size() + " sends, at most " + (int) bound);
     }
 
-    private void read(RoutingAction.Forward send, Track track, int attempt, Engine engine, double limit) {
-        double sentAt = now;
-        engine.freeAt = Math.max(now, engine.freeAt) + track.tokens / 1000 * figures.read / speed(engine);
+    private void read(Sent sent, Engine engine, double limit) {
+        ClientRequest request = sent.request;
+        engine.freeAt = Math.max(now, engine.freeAt) + request.tokens / 1000 * figures.read / speed(engine);
         double born = engine.born;
         if (engine.freeAt > limit) {
-            in(Math.max(0, limit - now), () -> ended(send, track, attempt, sentAt, Status.TIMEOUT, 0));
+            in(Math.max(0, limit - now), () -> ended(sent, Status.TIMEOUT, 0));
             return;
         }
         in(engine.freeAt - now, () -> {
             boolean alive = engine.up && engine.born == born;
-            if (alive && track.out) {
-                track.holder = engine;
+            if (alive && request.out) {
+                request.cacheEngine = engine;
             }
-            ended(send, track, attempt, sentAt, alive ? Status.PREFILLED : Status.RESET, 0);
+            ended(sent, alive ? Status.PREFILLED : Status.RESET, 0);
         });
     }
 
-    private void write(RoutingAction.Forward send, Track track, int attempt, Engine engine, Role role, double limit) {
-        double sentAt = now;
-        boolean state = track.holder != null && track.holder.up;
+    private void write(Sent sent, Engine engine, Role role, double limit) {
+        ClientRequest request = sent.request;
+        boolean state = request.cacheEngine != null && request.cacheEngine.up;
         if (!state && role == Role.DECODE) {
-            in(0.005, () -> ended(send, track, attempt, sentAt, Status.FULL, 1));
+            in(0.005, () -> ended(sent, Status.FULL, 1));
             return;
         }
         if (engine.running >= figures.slots) {
-            in(0.005, () -> ended(send, track, attempt, sentAt, Status.FULL, 0));
+            in(0.005, () -> ended(sent, Status.FULL, 0));
             return;
         }
         engine.running++;
-        double begins = 0.02 + (state ? 0.02 : track.tokens / 1000 * figures.read) / speed(engine);
+        double begins = 0.02 + (state ? 0.02 : request.tokens / 1000 * figures.read) / speed(engine);
         double lasts = figures.stream / speed(engine);
         in(begins + lasts, () -> engine.running--);
         Status fault = random.nextDouble() > figures.faults ? null : random.nextBoolean() ? Status.ERROR : Status.RESET;
         if (fault != null || now + begins > limit) {
             in(Math.max(0, Math.min(begins, limit - now)), () -> {
-                track.mayHaveRun = true;
-                ended(send, track, attempt, sentAt, fault != null ? fault : Status.TIMEOUT, 0);
+                request.mayHaveRun = true;
+                ended(sent, fault != null ? fault : Status.TIMEOUT, 0);
             });
             return;
         }
-        in(begins, () -> {
-            if (!track.out || track.finals > 0) {
+        in(begins, () -> stream(sent, lasts));
+    }
+
+    private void stream(Sent sent, double lasts) {
+        ClientRequest request = sent.request;
+        if (!request.out || request.finals > 0) {
+            return;
+        }
+        request.streaming = true;
+        request.mayHaveRun = true;
+        request.cacheEngine = null;
+        RoutingAction.Forward forward = sent.forward;
+        handle(
+                request.gateway,
+                new RoutingEvent.FirstTokenReceived(forward.id(), sent.attempt, forward.engine(), now - sent.at));
+        in(lasts, () -> {
+            if (request.lost) {
                 return;
             }
-            track.begun = true;
-            track.mayHaveRun = true;
-            track.holder = null;
-            handle(track.gateway, new RoutingEvent.FirstTokenReceived(send.id(), attempt, send.engine(), now - sentAt));
-            in(lasts, () -> {
-                if (track.lost) {
-                    return;
-                }
-                track.finals++;
-                track.served = true;
-                served++;
-                ended(send, track, attempt, sentAt, Status.OK, 0);
-            });
+            request.finals++;
+            request.served = true;
+            served++;
+            ended(sent, Status.OK, 0);
         });
     }
 
     /** An attempt has ended; whatever its request holds then has its time. */
-    private void ended(
-            RoutingAction.Forward send, Track track, int attempt, double sentAt, Status status, double note) {
-        if (!track.out) {
+    private void ended(Sent sent, Status status, double note) {
+        ClientRequest request = sent.request;
+        RoutingAction.Forward forward = sent.forward;
+        if (!request.out) {
             return;
         }
-        track.out = false;
-        track.heldSince = now;
+        request.out = false;
+        request.cacheWaitsSince = now;
         double since = now;
-        if (track.holder != null) {
+        if (request.cacheEngine != null) {
             in(
                     settings.rules().releaseWithin() + 0.001,
                     () -> check(
-                            track.holder == null || track.out || track.heldSince != since || !track.holder.up,
-                            send.id(),
+                            request.cacheEngine == null
+                                    || request.out
+                                    || request.cacheWaitsSince != since
+                                    || !request.cacheEngine.up,
+                            forward.id(),
                             "holds its state too long"));
         }
-        boolean closed = track.finals > 0 || track.begun;
+        boolean closed = request.finals > 0 || request.streaming;
         handle(
-                track.gateway,
+                request.gateway,
                 new RoutingEvent.AttemptEnded(
-                        send.id(), attempt, send.engine(), status, now - sentAt, closed, note, Map.of()));
+                        forward.id(), sent.attempt, forward.engine(), status, now - sent.at, closed, note, Map.of()));
     }
 
     // ---- Changes of the fleet ----
@@ -453,13 +472,15 @@
 
     /** What it had out is lost with it; its clients are gone. */
     private void restart(int gateway) {
-        tracks.values().stream().filter(track -> track.gateway == gateway).forEach(track -> {
-            track.lost = true;
-            track.finals = 1;
-            track.out = false;
-            track.holder = null;
-        });
-        told.get(gateway).clear();
+        clientRequests.values().stream()
+                .filter(request -> request.gateway == gateway)
+                .forEach(request -> {
+                    request.lost = true;
+                    request.finals = 1;
+                    request.out = false;
+                    request.cacheEngine = null;
+                });
+        removedAt.get(gateway).clear();
         gateways.set(gateway, new RoutingPolicy(settings, random.nextLong()));
         handle(
                 gateway,
@@ -467,7 +488,7 @@
                         RoutingEvent.Scope.COMPLETE,
                         engines.stream()
                                 .filter(e -> e.up)
-                                .map(e -> member(e, Lifecycle.ACTIVE))
+                                .map(e -> endpoint(e, Lifecycle.ACTIVE))
                                 .toList()));
     }
 
@@ -477,8 +498,8 @@
             return;
         }
         if (random.nextBoolean()) {
-            news(engine, Lifecycle.LEAVING);
-            in(figures.newsDelay + 1, () -> down(engine));
+            update(engine, Lifecycle.LEAVING);
+            in(figures.updateDelay + 1, () -> down(engine));
         } else {
             down(engine);
         }
@@ -486,29 +507,29 @@
 
     private void down(Engine engine) {
         engine.up = false;
-        news(engine, Lifecycle.LEFT);
-        in(figures.newsDelay + 2, () -> {
+        update(engine, Lifecycle.LEFT);
+        in(figures.updateDelay + 2, () -> {
             engine.up = true;
             engine.born = now;
             engine.freeAt = now;
             engine.sends.clear();
-            news(engine, Lifecycle.ACTIVE);
+            update(engine, Lifecycle.ACTIVE);
         });
     }
 
     /** Each gateway hears of it in its own time, in order. */
-    private void news(Engine engine, Lifecycle lifecycle) {
-        RoutingEvent.Endpoint member = member(engine, lifecycle);
+    private void update(Engine engine, Lifecycle lifecycle) {
+        RoutingEvent.Endpoint endpoint = endpoint(engine, lifecycle);
         for (int i = 0; i < gateways.size(); i++) {
             int gateway = i;
-            toldAt[i] = Math.max(toldAt[i], now + random.nextDouble() * figures.newsDelay);
-            in(toldAt[i] - now, () -> {
+            updatedAt[i] = Math.max(updatedAt[i], now + random.nextDouble() * figures.updateDelay);
+            in(updatedAt[i] - now, () -> {
                 if (lifecycle == Lifecycle.ACTIVE) {
-                    told.get(gateway).remove(engine.id);
+                    removedAt.get(gateway).remove(engine.id);
                 } else {
-                    told.get(gateway).putIfAbsent(engine.id, now);
+                    removedAt.get(gateway).putIfAbsent(engine.id, now);
                 }
-                handle(gateway, new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(member)));
+                handle(gateway, new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.CHANGES, List.of(endpoint)));
             });
         }
     }
