--- a/src/main/java/dunlinladder/transport/engine/AttemptPhase.java
+++ b/src/main/java/dunlinladder/transport/engine/AttemptPhase.java
@@ -18,11 +18,11 @@
     STREAMING(Ending.RESET, Ending.RESET);
 
     private final Ending endingWhenBroken;
-    private final Ending endingWhenOverdue;
+    private final Ending endingWhenTimedOut;
 
-    AttemptPhase(Ending endingWhenBroken, Ending endingWhenOverdue) {
+    AttemptPhase(Ending endingWhenBroken, Ending endingWhenTimedOut) {
         this.endingWhenBroken = endingWhenBroken;
-        this.endingWhenOverdue = endingWhenOverdue;
+        this.endingWhenTimedOut = endingWhenTimedOut;
     }
 
     /** How an attempt ends whose connection breaks in this phase, or never comes up. */
@@ -31,7 +31,7 @@
     }
 
     /** How an attempt ends that is given up in this phase because the engine is silent for too long. */
-    Ending endingWhenOverdue() {
-        return endingWhenOverdue;
+    Ending endingWhenTimedOut() {
+        return endingWhenTimedOut;
     }
 }
--- a/src/main/java/dunlinladder/transport/engine/AttemptProgress.java
+++ b/src/main/java/dunlinladder/transport/engine/AttemptProgress.java
@@ -57,7 +57,7 @@
      * Starts now.
      *
      * @param firstEventDeadline time by {@code clock} until which the first event must have come
-     * @param streamSeconds silence within the stream after which the attempt is overdue
+     * @param streamSeconds silence within the stream after which the attempt has timed out
      */
     AttemptProgress(Clock clock, double firstEventDeadline, double streamSeconds, EndListener listener) {
         this.clock = clock;
@@ -136,11 +136,11 @@
     }
 
     /** Ends the attempt if its deadline has passed, and tells whether that is so. */
-    synchronized boolean endIfOverdue() {
+    synchronized boolean endIfTimedOut() {
         if (clock.now() < deadline()) {
             return false;
         }
-        end(Outcome.of(phase.endingWhenOverdue()));
+        end(Outcome.of(phase.endingWhenTimedOut()));
         return true;
     }
 
--- a/src/main/java/dunlinladder/transport/engine/EngineCall.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineCall.java
@@ -77,7 +77,7 @@
     @Override
     public Outcome await() throws InterruptedException {
         while (!progress.awaitEnd()) {
-            if (progress.endIfOverdue()) {
+            if (progress.endIfTimedOut()) {
                 closeConnection();
             }
         }
--- a/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineConnectionPool.java
@@ -121,7 +121,7 @@
             callback.notConnected();
             return;
         }
-        pool.lease(host, null, connectTimeout, new ConnectStep<PoolEntry<HttpHost, IOSession>>(callback) {
+        pool.lease(host, null, connectTimeout, new ConnectCallback<PoolEntry<HttpHost, IOSession>>(callback) {
             @Override
             public void completed(PoolEntry<HttpHost, IOSession> entry) {
                 connect(host, entry, callback);
@@ -135,7 +135,7 @@
             return;
         }
         entry.discardConnection(CloseMode.IMMEDIATE);
-        requester.requestSession(host, connectTimeout, null, new ConnectStep<IOSession>(callback) {
+        requester.requestSession(host, connectTimeout, null, new ConnectCallback<IOSession>(callback) {
             @Override
             public void completed(IOSession session) {
                 entry.assignConnection(session);
@@ -150,11 +150,11 @@
         });
     }
 
-    /** A step on the way to a connection; if it fails, there is none. */
-    private abstract static class ConnectStep<T> implements FutureCallback<T> {
+    /** Waits for one part of a connection; if that fails, there is none. */
+    private abstract static class ConnectCallback<T> implements FutureCallback<T> {
         private final LeaseCallback callback;
 
-        ConnectStep(LeaseCallback callback) {
+        ConnectCallback(LeaseCallback callback) {
             this.callback = callback;
         }
 
@@ -220,7 +220,7 @@
 
     /** Closes what has been idle too long; to be called now and then. */
     public void closeIdle() {
-        lastResponses.forgetOlderThan(limits.idleSeconds());
+        lastResponses.expireOlderThan(limits.idleSeconds());
         pool.closeExpired();
         pool.closeIdle(idleTime());
     }
--- a/src/main/java/dunlinladder/transport/engine/EngineResponseHead.java
+++ b/src/main/java/dunlinladder/transport/engine/EngineResponseHead.java
@@ -27,7 +27,7 @@
     private static final int PREFILLED = HttpStatus.SC_ACCEPTED;
 
     /** A decode engine finds no KV cache to fetch; it has done nothing for the request. */
-    private static final int KV_CACHE_GONE = HttpStatus.SC_GONE;
+    private static final int KV_CACHE_MISSING = HttpStatus.SC_GONE;
 
     /** Queue full, draining or too many connections. */
     private static final int TURNED_AWAY = HttpStatus.SC_SERVICE_UNAVAILABLE;
@@ -76,7 +76,7 @@
     Outcome outcome(String body, EngineRequestFactory requests) {
         return switch (status) {
             case PREFILLED -> new Outcome(Ending.PREFILLED, EngineReportReader.cachedTokensOfPrefill(body), loadReport);
-            case KV_CACHE_GONE -> Outcome.kvCacheMissing(loadReport);
+            case KV_CACHE_MISSING -> Outcome.kvCacheMissing(loadReport);
             case TURNED_AWAY, EXPIRED -> new Outcome(notProcessed ? Ending.FULL : Ending.ERROR, NO_NOTE, loadReport);
             default ->
                 new Outcome(requests.isRejection(status, body) ? Ending.REJECTED : Ending.ERROR, NO_NOTE, loadReport);
--- a/src/main/java/dunlinladder/transport/engine/LastResponses.java
+++ b/src/main/java/dunlinladder/transport/engine/LastResponses.java
@@ -20,8 +20,8 @@
         lastAt.put(address, System.nanoTime() - createdAt);
     }
 
-    /** Forgets the engines that have not answered for {@code seconds}. */
-    void forgetOlderThan(double seconds) {
+    /** Expires the engines that have not answered for {@code seconds}. */
+    void expireOlderThan(double seconds) {
         long oldest = System.nanoTime() - createdAt - (long) (seconds * NANOS_PER_SECOND);
         lastAt.values().removeIf(at -> at < oldest);
     }
--- a/src/test/java/dunlinladder/transport/engine/AttemptProgressTest.java
+++ b/src/test/java/dunlinladder/transport/engine/AttemptProgressTest.java
@@ -16,7 +16,7 @@
 
     private final List<Ending> endings = new ArrayList<>();
 
-    /** Without an event an attempt is overdue at once; with one, after {@code streamSeconds}. */
+    /** Without an event an attempt has timed out at once; with one, after {@code streamSeconds}. */
     private AttemptProgress progress(double streamSeconds) {
         return new AttemptProgress(
                 new Clock(), 0, streamSeconds, (outcome, firstTokenSeconds) -> endings.add(outcome.ending()));
@@ -39,23 +39,23 @@
 
     @Test
     void silenceEndsAsFailedConnectionAsTimeoutOrAsResetByPhase() {
-        assertTrue(progress(1).endIfOverdue());
+        assertTrue(progress(1).endIfTimedOut());
         AttemptProgress sent = progress(1);
         sent.requestSent();
-        assertTrue(sent.endIfOverdue());
+        assertTrue(sent.endIfTimedOut());
         AttemptProgress streaming = progress(0);
         streaming.eventsArrived(1);
         streaming.eventsTaken(1);
-        assertTrue(streaming.endIfOverdue());
+        assertTrue(streaming.endIfTimedOut());
         assertEquals(List.of(Ending.CONNECT_FAILED, Ending.TIMEOUT, Ending.RESET), endings);
     }
 
     @Test
-    void streamIsNotOverdueWhileTheClientHasNotReadWhatCame() {
+    void streamDoesNotTimeOutWhileTheClientHasNotReadWhatCame() {
         AttemptProgress streaming = progress(1000);
         streaming.eventsArrived(2);
         streaming.eventsTaken(1);
-        assertFalse(streaming.endIfOverdue());
+        assertFalse(streaming.endIfTimedOut());
         assertEquals(List.of(), endings);
     }
 
