--- a/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
+++ b/src/main/java/dunlinladder/lifecycle/ReferenceDocs.java
@@ -1,21 +1,24 @@
 package dunlinladder.lifecycle;
 
-import dunlinladder.apiformat.ErrorTranslator;
-import dunlinladder.apiformat.TranslationTable;
+import dunlinladder.apiformat.ReferencePages;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes the tables into the folder of docs that its one argument names. */
+/** Writes the reference pages that are made of the tables which the program carries out; see {@code make docs}. */
 public final class ReferenceDocs {
 
     private ReferenceDocs() {}
 
-    /** Writes {@code fields.md} and {@code errors.md}. */
+    /**
+     * Writes {@code fields.md} and {@code errors.md}.
+     *
+     * @param args the folder that takes them, which is created where it is absent
+     */
     public static void main(String[] args) throws IOException {
         Path docs = Path.of(args[0]);
         Files.createDirectories(docs);
-        Files.writeString(docs.resolve("fields.md"), TranslationTable.markdown());
-        Files.writeString(docs.resolve("errors.md"), ErrorTranslator.markdown());
+        Files.writeString(docs.resolve("fields.md"), ReferencePages.fields());
+        Files.writeString(docs.resolve("errors.md"), ReferencePages.errors());
     }
 }
--- a/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
+++ b/src/test/java/dunlinladder/apiformat/RequestTranslatorTest.java
@@ -18,10 +18,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Requests from each format to each other, field by field. */
+/** Requests from each format to each other, field by field; the cases are in files. */
 class RequestTranslatorTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long MAX_OUTPUT_TOKENS = 800;
 
     private final List<String> warnings = new ArrayList<>();
 
@@ -29,17 +30,17 @@
         return StrictJson.body(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    private JsonNode translate(String from, String to, String body, RequestTranslator.Unknown unknown) {
-        return StrictJson.body(RequestTranslator.write(
+    private JsonNode translate(String from, String to, String body, RequestTranslator.UnknownFields unknownFields) {
+        return StrictJson.body(RequestTranslator.encode(
                         ApiFormat.of(to).orElseThrow(),
-                        RequestTranslator.read(ApiFormat.of(from).orElseThrow(), json(body), unknown, warnings),
-                        800,
+                        RequestTranslator.decode(ApiFormat.of(from).orElseThrow(), json(body), unknownFields, warnings),
+                        MAX_OUTPUT_TOKENS,
                         warnings)
                 .toString()
                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The cases stand in a file: from, to, the client's body, what the engine gets. */
+    /** Columns: from, to, the client's body, the body that the engine gets. */
     @ParameterizedTest
     @CsvFileSource(
             resources = "/apiformat/requests.csv",
@@ -47,8 +48,8 @@
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
-    void aRequestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
-        assertEquals(json(expected), translate(from, to, body, RequestTranslator.Unknown.PASS));
+    void requestIsExpressedInTheOtherFormat(String from, String to, String body, String expected) {
+        assertEquals(json(expected), translate(from, to, body, RequestTranslator.UnknownFields.PASS));
     }
 
     @ParameterizedTest
@@ -58,10 +59,10 @@
             numLinesToSkip = 1,
             quoteCharacter = '`',
             maxCharsPerColumn = 8192)
-    void whatCannotBeExpressedIsRefusedByName(String from, String to, String body, String field) {
+    void requestThatCannotBeExpressedIsRefusedWithItsField(String from, String to, String body, String field) {
         UntranslatableRequestException error = assertThrows(
                 UntranslatableRequestException.class,
-                () -> translate(from, to, body, RequestTranslator.Unknown.REFUSE));
+                () -> translate(from, to, body, RequestTranslator.UnknownFields.REFUSE));
         assertEquals(field, error.field());
         assertTrue(error.getMessage().contains(field), error.getMessage());
     }
@@ -81,31 +82,32 @@
                 "chat | messages | {'model':'m','max_tokens':1100,'reasoning_effort':'high',"
                         + "'messages':[{'role':'user','content':'a'}]} | reasoning_effort"
             })
-    void whatIsLeftOutIsSaid(String from, String to, String body, String field) {
-        translate(from, to, body, RequestTranslator.Unknown.REFUSE);
+    void fieldThatIsLeftOutIsWarnedOf(String from, String to, String body, String field) {
+        translate(from, to, body, RequestTranslator.UnknownFields.REFUSE);
         assertEquals(1, warnings.size(), warnings.toString());
         assertTrue(warnings.get(0).startsWith(field), warnings.get(0));
     }
 
     @ParameterizedTest
     @CsvSource({"PASS, true, 0", "DROP, false, 1"})
-    void fieldsThatNoTableKnowsFollowTheOperator(RequestTranslator.Unknown unknown, boolean there, int warned) {
+    void unknownFieldsAreTreatedAsTheOperatorWants(
+            RequestTranslator.UnknownFields unknownFields, boolean present, int warningCount) {
         JsonNode body = translate(
                 "chat",
                 "responses",
                 "{'model':'m','messages':[{'role':'user','content':'a'}],'novel':{'deep':1}}",
-                unknown);
-        assertEquals(there, body.has("novel"));
-        assertEquals(warned, warnings.size());
+                unknownFields);
+        assertEquals(present, body.has("novel"));
+        assertEquals(warningCount, warnings.size());
     }
 
-    /** No field vanishes silently: each of a format's own fields is carried back to itself. */
+    /** No field is lost silently: each field of a format survives the neutral model. */
     @ParameterizedTest
     @EnumSource(ApiFormat.class)
-    void everyFieldOfAFormatComesBackAsItWas(ApiFormat format) throws IOException {
+    void everyFieldOfAFormatSurvivesTranslationToItself(ApiFormat format) throws IOException {
         JsonNode body = JSON.readTree(
                 RequestTranslatorTest.class.getResourceAsStream("/apiformat/full-" + format.key() + ".json"));
-        for (FieldTable.Field field : FieldTable.of(format)) {
+        for (FieldTable.Field field : FieldTable.of(format).fields()) {
             assertTrue(
                     field.alias()
                             || !body.at("/" + field.path().replace('.', '/')).isMissingNode(),
@@ -113,16 +115,16 @@
         }
         assertEquals(
                 body,
-                RequestTranslator.write(
+                RequestTranslator.encode(
                         format,
-                        RequestTranslator.read(format, body, RequestTranslator.Unknown.REFUSE, warnings),
-                        800,
+                        RequestTranslator.decode(format, body, RequestTranslator.UnknownFields.REFUSE, warnings),
+                        MAX_OUTPUT_TOKENS,
                         warnings));
         assertEquals(List.of(), warnings);
     }
 
     @Test
-    void deepNestingAndTrailingTextAreMalformed() {
+    void bodyIsMalformedWhenNestedTooDeepOrFollowedByText() {
         String deep = "{\"a\":" + "[".repeat(StrictJson.DEPTH + 1) + "]".repeat(StrictJson.DEPTH + 1) + "}";
         assertThrows(UntranslatableRequestException.class, () -> json(deep));
         assertThrows(UntranslatableRequestException.class, () -> json("{} {}"));
@@ -130,10 +132,10 @@
         assertThrows(UntranslatableRequestException.class, () -> json(""));
     }
 
-    /** The pages of the docs are what the tables print; {@code make docs} writes them. */
+    /** The pages are what the tables print; {@code make docs} writes them. */
     @Test
-    void theDocsShowTheTables() throws IOException {
-        assertEquals(Files.readString(Path.of("docs/fields.md")), TranslationTable.markdown());
-        assertEquals(Files.readString(Path.of("docs/errors.md")), ErrorTranslator.markdown());
+    void referencePagesShowTheTables() throws IOException {
+        assertEquals(Files.readString(Path.of("docs/fields.md")), ReferencePages.fields());
+        assertEquals(Files.readString(Path.of("docs/errors.md")), ReferencePages.errors());
     }
 }
