--- a/src/main/java/dunlinladder/lifecycle/Gateway.java
+++ b/src/main/java/dunlinladder/lifecycle/Gateway.java
@@ -3,7 +3,7 @@
 import dunlinladder.core.Clock;
 import dunlinladder.core.Limits;
 import dunlinladder.migration.Generation;
-import dunlinladder.transport.chat.ChatExchange;
+import dunlinladder.transport.chat.TranslationWarmup;
 import dunlinladder.transport.http.HttpListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -73,7 +73,7 @@
         timer.scheduleWithFixedDelay(
                 this::checkSchedulingLag,
                 0,
-                (long) (limits.lagCheckSeconds() * MICROS_PER_SECOND),
+                (long) (limits.schedulingLagCheckSeconds() * MICROS_PER_SECOND),
                 TimeUnit.MICROSECONDS);
         Clock clock = parts.clock();
         parts.eligibility()
@@ -112,7 +112,7 @@
         DaemonThreads.create(this::runRoutingTimers, "routing-timers").start();
         int port = listen("platform", parts.platformFront(), config.listen());
         if (chat.isPresent()) {
-            ChatExchange.warm(chat.get().settings().engines().stream()
+            TranslationWarmup.run(chat.get().settings().engines().stream()
                     .map(Generation::format)
                     .distinct()
                     .toList());
--- a/src/main/java/dunlinladder/transport/discovery/WatchCall.java
+++ b/src/main/java/dunlinladder/transport/discovery/WatchCall.java
@@ -4,6 +4,7 @@
 import dunlinladder.membership.WatchEvent;
 import dunlinladder.transport.json.InvalidInputException;
 import dunlinladder.transport.json.JsonObject;
+import dunlinladder.transport.json.JsonObjectStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -135,7 +136,7 @@
     }
 
     private void readUpdates(ClassicHttpResponse response) throws IOException {
-        JsonObject.Values lists = new JsonObject.Values(
+        JsonObjectStream lists = new JsonObjectStream(
                 response.getEntity().getContent(), () -> listener.received(new WatchEvent.Heartbeat(id())));
         for (JsonObject list = lists.next(); list != null; list = lists.next()) {
             listener.received(new WatchEvent.UpdateReceived(id(), reader.read(list, false)));
