--- a/src/main/java/dunlinladder/lifecycle/LimitsReader.java
+++ b/src/main/java/dunlinladder/lifecycle/LimitsReader.java
@@ -86,7 +86,8 @@
 
     /** Clients and engines get half of the connections each; requests are bounded by the memory as well. */
     private static Limits.CapacityLimits capacity(JsonObject process, JsonObject caps) {
-        int sockets = process.intInRange("sockets", DEFAULT_SOCKETS, MIN_SOCKETS_PER_OWN * OWN_SOCKETS, Integer.MAX_VALUE);
+        int sockets =
+                process.intInRange("sockets", DEFAULT_SOCKETS, MIN_SOCKETS_PER_OWN * OWN_SOCKETS, Integer.MAX_VALUE);
         int memoryMegabytes = process.intInRange(
                 "memory_mb", DEFAULT_MEMORY_MEGABYTES, MIN_MEMORY_MEGABYTES, Integer.MAX_VALUE / REQUESTS_PER_MEGABYTE);
         int connections = Math.min(MAX_CONNECTIONS, sockets - OWN_SOCKETS) / 2;
--- a/src/test/java/dunlinladder/routing/Fleet.java
+++ b/src/test/java/dunlinladder/routing/Fleet.java
@@ -42,6 +42,15 @@
                 new RoutingSettings.Rules(0.02, 0.25, 2.5, 2, 12, 0.3, 0.5));
     }
 
+    static Fleet pair() {
+        return new Fleet()
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("r1", 1, Role.PREFILL)
+                .with("w1", 1, Role.DECODE)
+                .listed();
+    }
+
     Fleet type(Effect effect, Group group) {
         settings = settings(effect, group);
         return restartRouter();
--- /dev/null
+++ b/src/test/java/dunlinladder/routing/RequestLifeCycleTest.java
@@ -0,0 +1,194 @@
+package dunlinladder.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinladder.routing.RoutingEvent.Status;
+import dunlinladder.routing.RoutingSettings.Effect;
+import dunlinladder.routing.RoutingSettings.Group;
+import dunlinladder.routing.RoutingSettings.Role;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** What becomes of a request and of its KV cache, whatever fails on its way. */
+class RequestLifeCycleTest {
+
+    private static final String NEAR_READER = "r0";
+    private static final String FAR_READER = "r1";
+
+    /** A writer whose memory is full sends answers back to its queue: one with a stream more is better. */
+    @Test
+    void fullWriterIsPassedOver() {
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("w1", 0, Role.DECODE)
+                .listed();
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        String full = fleet.lastSend().engine();
+        fleet.first("a");
+        fleet.arrive("b");
+        fleet.outcome("b", Status.PREFILLED);
+        assertFalse(full.equals(fleet.lastSend().engine()));
+        fleet.first("b");
+        fleet.reported("a", Status.OK, Map.of("x0", 0.97, "x1", 0.0));
+        fleet.arrive("c");
+        fleet.outcome("c", Status.PREFILLED);
+        assertFalse(full.equals(fleet.lastSend().engine()));
+    }
+
+    @Test
+    void writerFailureBeforeTheFetchTriesAnotherWriterWithTheSameState() {
+        for (Status status : List.of(
+                Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
+            Fleet fleet = Fleet.pair();
+            fleet.arrive("a");
+            fleet.outcome("a", Status.PREFILLED);
+            String decodeEngine = fleet.lastSend().engine();
+            fleet.outcome("a", status);
+            assertEquals(
+                    decodeEngine.equals("w0") ? "w1" : "w0", fleet.lastSend().engine(), status.name());
+        }
+    }
+
+    @Test
+    void lostStateIsReleasedAndReadAgain() {
+        Fleet fleet = Fleet.pair();
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        fleet.outcome("a", Status.FULL, 1, false);
+        assertEquals(1, fleet.releases("a"), "a cut-off prefillEngine still holds it");
+        assertTrue(fleet.lastSend().engine().startsWith("r"));
+    }
+
+    @Test
+    void readerFailureTriesTheOtherReader() {
+        for (Status status : List.of(
+                Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
+            Fleet fleet = Fleet.pair();
+            String prefillEngine = fleet.arrive("a").engine();
+            fleet.outcome("a", status);
+            assertEquals(
+                    prefillEngine.equals(NEAR_READER) ? FAR_READER : NEAR_READER,
+                    fleet.lastSend().engine());
+        }
+    }
+
+    @Test
+    void withoutServersARequestWaitsThenIsAnsweredInTime() {
+        Fleet fleet = new Fleet().listed();
+        fleet.request("a", 1);
+        fleet.run(5.5);
+        assertEquals(1, fleet.finals("a"));
+        assertTrue(fleet.finalAt("a") < 5);
+    }
+
+    @Test
+    void waitingRequestGoesOutWhenAServerAppears() {
+        Fleet fleet = new Fleet().listed();
+        fleet.request("a", 1);
+        fleet.run(1);
+        fleet.with("r0", 0, Role.PREFILL).listed();
+        assertEquals("r0", fleet.lastSend().engine());
+    }
+
+    @Test
+    void heldStateIsReleasedInTimeWhenNoWriterIsReady() {
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        fleet.run(fleet.settings.rules().releaseWithin());
+        assertEquals(1, fleet.releases("a"));
+    }
+
+    /** On sockets the time runs on while connections fail to come up: two that time out use most of it. */
+    @Test
+    void aStateWhoseWritersCannotBeReachedIsLetGo() {
+        Fleet fleet = new Fleet()
+                .with("r0", 0, Role.PREFILL)
+                .with("w0", 0, Role.DECODE)
+                .with("w1", 0, Role.DECODE)
+                .with("w2", 0, Role.DECODE)
+                .listed();
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        fleet.run(0.25);
+        fleet.outcome("a", Status.CONNECT_FAILED);
+        assertEquals(0, fleet.releases("a"));
+        fleet.run(0.25);
+        fleet.outcome("a", Status.CONNECT_FAILED);
+        assertEquals(1, fleet.releases("a"));
+    }
+
+    /** A link is cut after the read: the reader holds a state that nobody was told of. */
+    @Test
+    void stateOfALostReadIsReleasedInTime() {
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
+        fleet.arrive("a");
+        fleet.drain("r0");
+        fleet.outcome("a", Status.RESET);
+        fleet.run(fleet.settings.rules().releaseWithin());
+        assertEquals(1, fleet.releases("a"));
+    }
+
+    @Test
+    void unsafeRequestThatMightHaveRunFailsWithoutARepeat() {
+        for (Status status : List.of(Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
+            Fleet fleet = Fleet.pair().type(Effect.UNSAFE, Group.ALL);
+            fleet.arrive("a");
+            fleet.outcome("a", Status.PREFILLED);
+            int sends = fleet.sends();
+            fleet.outcome("a", status);
+            fleet.run(5.5);
+            assertEquals(1, fleet.fails("a"), status.name());
+            assertEquals(sends, fleet.sendsToWriters(sends), status.name());
+        }
+    }
+
+    @Test
+    void keyedRequestStaysInItsGroup() {
+        Fleet fleet = Fleet.pair().with("v0", 0, Role.DECODE).listed().type(Effect.KEYED, Group.CELL);
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        int cell = fleet.cell(fleet.lastSend().engine());
+        int sends = fleet.sends();
+        fleet.outcome("a", Status.RESET);
+        fleet.run(1);
+        for (RoutingAction.Forward send : fleet.sent.subList(sends, fleet.sends())) {
+            assertTrue(send.engine().startsWith("r") || fleet.cell(send.engine()) == cell);
+        }
+    }
+
+    @Test
+    void lateOutcomeAfterTheClientLeftReleasesTheState() {
+        Fleet fleet = Fleet.pair();
+        fleet.arrive("a");
+        fleet.gone("a");
+        fleet.outcome("a", Status.PREFILLED, 0, true);
+        assertEquals(1, fleet.releases("a"));
+        assertEquals(1, fleet.sends());
+    }
+
+    @Test
+    void leavingClientFreesAWaitingState() {
+        Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
+        fleet.arrive("a");
+        fleet.outcome("a", Status.PREFILLED);
+        fleet.gone("a");
+        assertEquals(1, fleet.releases("a"));
+        fleet.run(6);
+        assertEquals(0, fleet.finals("a"));
+    }
+
+    @Test
+    void unknownIdsAreIgnored() {
+        Fleet fleet = Fleet.pair();
+        fleet.gone("x");
+        fleet.handle(new RoutingEvent.FirstTokenReceived("x", 0, "r0", 0.1));
+        fleet.handle(new RoutingEvent.AttemptEnded("x", 0, "r0", Status.OK, 0.1, true, 0, java.util.Map.of()));
+        assertEquals(0, fleet.sends());
+    }
+}
