--- a/src/test/java/dunlinladder/routing/LoadSheddingTest.java
+++ b/src/test/java/dunlinladder/routing/LoadSheddingTest.java
@@ -14,7 +14,7 @@
 
     /** Advice on a refusal follows the wait and keeps within its bound, which is 1 s here. */
     @Test
-    void adviceFollowsTheWait() {
+    void retryAfterFollowsTheExpectedWait() {
         for (double wait : new double[] {Double.NaN, 0, 0.1, 0.4, 5, Double.POSITIVE_INFINITY}) {
             double known = wait > 0.1 ? wait : 0.1;
             for (double chance : new double[] {0, 0.5, 0.99}) {
@@ -27,7 +27,7 @@
 
     /** Those refused together are not asked to come again together. */
     @Test
-    void adviceDiffersFromOneToTheNext() {
+    void retryAfterIsJittered() {
         Fleet fleet = new Fleet().advising();
         fleet.arrive("a");
         fleet.arrive("b");
@@ -43,7 +43,7 @@
 
     /** All readers silent, then well: refusing on old news kept everything refused for good. */
     @Test
-    void oldNewsDoesNotRefuseForGood() {
+    void staleStatisticsDoNotRejectForGood() {
         Fleet fleet = Fleet.pair();
         for (int i = 0; i < 4; i++) {
             fleet.arrive("a" + i);
@@ -64,7 +64,7 @@
 
     /** A jam: what would only be late is refused at once and leaves room for the rest. */
     @Test
-    void newRequestsAreRefusedWhenTheWaitPassesTheAim() {
+    void newRequestsAreRejectedWhenTheWaitExceedsTheObjective() {
         Fleet fleet = Fleet.pair();
         for (int i = 0; i < 20; i++) {
             fleet.arrive("a" + i);
--- a/src/test/java/dunlinladder/routing/ManyGatewaysTest.java
+++ b/src/test/java/dunlinladder/routing/ManyGatewaysTest.java
@@ -12,7 +12,7 @@
 
     /** Hundreds of routers each granting one send at once would push a cold server over. */
     @Test
-    void hundredsOfRoutersShareOneColdServer() {
+    void hundredsOfGatewaysShareTheBudgetOfOneEngineInSlowStart() {
         int routers = 100;
         int sent = 0;
         for (int i = 0; i < routers; i++) {
@@ -33,7 +33,7 @@
 
     /** Two routers that cannot talk choose the same reader for a shared beginning that nobody has read. */
     @Test
-    void routersAgreeOnTheReaderOfABeginning() {
+    void gatewaysAgreeOnThePrefillEngineOfAPrefix() {
         for (long prefix = 1; prefix < 6; prefix++) {
             Fleet one = Fleet.pair().seed(1);
             Fleet two = Fleet.pair().seed(99);
@@ -54,7 +54,7 @@
 
     /** Many routers, each server met once: what the role takes now tells of a jam, not each server's past. */
     @Test
-    void jamIsKnownFromTheRolesLatestAnswers() {
+    void saturationIsKnownFromTheLatestResponsesOfTheRole() {
         Fleet fleet = manyRouters();
         for (int i = 0; i < 30; i++) {
             fleet.arrive("a" + i);
@@ -78,7 +78,7 @@
      * that was taken for a slow role, and short requests were refused as well.
      */
     @Test
-    void whatIsReadAnewIsNoSlownessWhereRoutersAreMany() {
+    void prefixMissesAreNotTakenForSlownessAmongManyGateways() {
         Fleet fleet = manyRouters();
         for (int i = 0; i < 12; i++) {
             fleet.opening("a" + i, 100 + i, 8000);
@@ -95,7 +95,7 @@
 
     /** Incident i52e765: hundreds of routers trying a jammed role every other second kept it jammed. */
     @Test
-    void jammedRoleIsTriedSeldomByManyRouters() {
+    void saturatedRoleIsProbedSeldomByManyGateways() {
         Fleet fleet = manyRouters();
         for (int i = 0; i < 7; i++) {
             fleet.request("a" + i, i);
@@ -117,7 +117,7 @@
 
     /** Day h86dace: readers idle again after a rack's restart, yet old answers refused for half a minute. */
     @Test
-    void goodTrialOpensAJammedRoleAgain() {
+    void successfulProbeOpensASaturatedRoleAgain() {
         Fleet fleet = manyRouters();
         for (int i = 0; i < 7; i++) {
             fleet.request("a" + i, i);
@@ -136,7 +136,7 @@
 
     /** Many routers, and a cell with five readers and one writer: its surplus goes to spare writers. */
     @Test
-    void cellsWithFewWritersPassOnTheirSurplus() {
+    void cellsWithFewDecodeEnginesPassOnTheirSurplus() {
         int home = 0;
         int reads = 0;
         for (int i = 0; i < 200; i++) {
@@ -156,7 +156,7 @@
 
     /** Many routers with the same popular beginning must not all send it to one reader. */
     @Test
-    void popularBeginningIsSpreadTheSameAtAllRouters() {
+    void popularPrefixIsSpreadAlikeByAllGateways() {
         java.util.Map<String, Integer> counts = new java.util.TreeMap<>();
         for (int i = 0; i < 50; i++) {
             Fleet fleet = new Fleet().routers(100);
@@ -177,7 +177,7 @@
 
     /** After a router's restart a cached list may be stale; a cold server is still started gently. */
     @Test
-    void restartedRouterKeepsToTheColdBudget() {
+    void restartedGatewayKeepsToTheSlowStartBudget() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("r1", 0, Role.PREFILL)
@@ -196,7 +196,7 @@
      * ones, must not refuse for the jam while these stand idle.
      */
     @Test
-    void coldReadersNotYetHeardOfTakeWhatWaitsAtTheWarmOnes() {
+    void warmingPrefillEnginesWithoutSamplesRelieveSaturatedOnes() {
         int cold = 0;
         int refused = 0;
         for (int router = 0; router < 14; router++) {
--- a/src/test/java/dunlinladder/routing/RequestLifeCycleTest.java
+++ b/src/test/java/dunlinladder/routing/RequestLifeCycleTest.java
@@ -20,7 +20,7 @@
 
     /** A writer whose memory is full sends answers back to its queue: one with a stream more is better. */
     @Test
-    void fullWriterIsPassedOver() {
+    void decodeEngineWithoutMemoryIsPassedOver() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("w0", 0, Role.DECODE)
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void writerFailureBeforeTheFetchTriesAnotherWriterWithTheSameState() {
+    void decodeFailureBeforeTheFetchRetriesElsewhereWithTheSameCache() {
         for (Status status : List.of(
                 Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = Fleet.pair();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void lostStateIsReleasedAndReadAgain() {
+    void lostCacheIsReleasedAndPrefilledAgain() {
         Fleet fleet = Fleet.pair();
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void readerFailureTriesTheOtherReader() {
+    void prefillFailureRetriesOnTheOtherEngine() {
         for (Status status : List.of(
                 Status.FULL, Status.CONNECT_FAILED, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = Fleet.pair();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void withoutServersARequestWaitsThenIsAnsweredInTime() {
+    void withoutEnginesARequestWaitsThenIsAnsweredInTime() {
         Fleet fleet = new Fleet().listed();
         fleet.request("a", 1);
         fleet.run(5.5);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void waitingRequestGoesOutWhenAServerAppears() {
+    void waitingRequestIsForwardedWhenAnEngineAppears() {
         Fleet fleet = new Fleet().listed();
         fleet.request("a", 1);
         fleet.run(1);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void heldStateIsReleasedInTimeWhenNoWriterIsReady() {
+    void heldCacheIsReleasedInTimeWhenNoDecodeEngineIsReady() {
         Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
@@ -106,7 +106,7 @@
 
     /** On sockets the time runs on while connections fail to come up: two that time out use most of it. */
     @Test
-    void aStateWhoseWritersCannotBeReachedIsLetGo() {
+    void cacheIsReleasedWhenItsDecodeEnginesAreUnreachable() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("w0", 0, Role.DECODE)
@@ -125,7 +125,7 @@
 
     /** A link is cut after the read: the reader holds a state that nobody was told of. */
     @Test
-    void stateOfALostReadIsReleasedInTime() {
+    void cacheOfALostPrefillIsReleasedInTime() {
         Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
         fleet.drain("r0");
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void unsafeRequestThatMightHaveRunFailsWithoutARepeat() {
+    void unsafeRequestThatMayHaveRunFailsWithoutARetry() {
         for (Status status : List.of(Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)) {
             Fleet fleet = Fleet.pair().type(Effect.UNSAFE, Group.ALL);
             fleet.arrive("a");
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void keyedRequestStaysInItsGroup() {
+    void keyedRequestStaysInItsDeduplicationGroup() {
         Fleet fleet = Fleet.pair().with("v0", 0, Role.DECODE).listed().type(Effect.KEYED, Group.CELL);
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void lateOutcomeAfterTheClientLeftReleasesTheState() {
+    void lateOutcomeAfterADisconnectReleasesTheCache() {
         Fleet fleet = Fleet.pair();
         fleet.arrive("a");
         fleet.gone("a");
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void leavingClientFreesAWaitingState() {
+    void disconnectReleasesAWaitingCache() {
         Fleet fleet = new Fleet().with("r0", 0, Role.PREFILL).listed();
         fleet.arrive("a");
         fleet.outcome("a", Status.PREFILLED);
--- a/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/dunlinladder/routing/RoutingPolicyTest.java
@@ -16,7 +16,7 @@
 class RoutingPolicyTest {
 
     @Test
-    void readsThenPullsInTheReadersCell() {
+    void prefillsThenDecodesInThePrefillEnginesCell() {
         Fleet fleet = Fleet.pair();
         String prefillEngine = fleet.arrive("a").engine();
         fleet.outcome("a", Status.PREFILLED);
@@ -27,14 +27,14 @@
     }
 
     @Test
-    void spreadsReadsByOwnCount() {
+    void spreadsPrefillsByOwnRequestsInFlight() {
         Fleet fleet = Fleet.pair();
         String first = fleet.arrive("a").engine();
         assertFalse(first.equals(fleet.arrive("b").engine()));
     }
 
     @Test
-    void keptSessionIsPreferredWhenNotClearlyBusier() {
+    void engineThatCachesTheSessionIsPreferredUnlessClearlyBusier() {
         Fleet fleet = Fleet.pair();
         String prefillEngine = fleet.arrive("a", 7).engine();
         fleet.serve("a");
@@ -46,7 +46,7 @@
 
     /** Turns of sessions that a reader keeps cost next to nothing there, elsewhere a whole prompt each. */
     @Test
-    void sessionsStayWithTheReaderThatKeepsTheirTurns() {
+    void sessionsStayWithThePrefillEngineThatCachesTheirTurns() {
         Fleet fleet = Fleet.pair();
         List<Integer> kept = new ArrayList<>();
         for (int i = 0; kept.size() < 7; i++) {
@@ -62,7 +62,7 @@
 
     /** Where a beginning was not found kept, its reads count as they cost: the other reader takes some. */
     @Test
-    void whatIsNotFoundKeptIsNotCountedOn() {
+    void prefixesNotFoundCachedAreNotCountedOn() {
         Fleet fleet = Fleet.pair();
         for (int i = 0; i < 40; i++) {
             fleet.shared("a" + i, 9);
@@ -80,7 +80,7 @@
 
     /** While the readers are behind, a mixed server that is not takes requests, its share or not. */
     @Test
-    void mixedServerHelpsJammedReaders() {
+    void mixedEngineHelpsSaturatedPrefillEngines() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("w0", 0, Role.DECODE)
@@ -93,7 +93,7 @@
 
     /** What a mixed server reads slows its streams: once they last much longer than others it gets none. */
     @Test
-    void mixedServerWhoseStreamsLagGetsNoMore() {
+    void mixedEngineWithSlowStreamsGetsNoMore() {
         for (double lasting : new double[] {0.2, 2}) {
             Fleet fleet = new Fleet()
                     .with("r0", 0, Role.PREFILL)
@@ -131,7 +131,7 @@
 
     /** Of three readers two cannot be reached: that says nothing of the third, which gets all but trials. */
     @Test
-    void unreachableServersStayBarredHoweverMany() {
+    void unreachableEnginesStayEjectedHoweverMany() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("r1", 0, Role.PREFILL)
@@ -152,7 +152,7 @@
 
     /** What was sent lately is dropped as more is sent, whether or not anybody asks for it. */
     @Test
-    void whatWasSentLatelyIsBounded() {
+    void recentlySentStreamsAreBounded() {
         EngineState decodeEngine = new EngineState("w0");
         for (int i = 0; i < 100; i++) {
             decodeEngine.streamSent(new AttemptState(null, i, decodeEngine, AttemptState.Stage.DECODE, i));
@@ -162,7 +162,7 @@
 
     /** What was kept of an engine goes with it: it would grow with every engine that is replaced. */
     @Test
-    void enginesThatLeftAreForgotten() {
+    void enginesThatLeftAreRemoved() {
         Fleet fleet = Fleet.pair();
         fleet.serve(fleet.arrive("a", 7).id());
         fleet.shared("b", 8);
@@ -175,7 +175,7 @@
 
     /** Six in ten of sixty engines are replaced again and again under new ids: nothing is kept of the old. */
     @Test
-    void whatIsKnownIsBoundedByTheEnginesThatLive() {
+    void knowledgeIsBoundedByTheListedEngines() {
         Fleet fleet = new Fleet().routers(14);
         for (int i = 0; i < 60; i++) {
             fleet.with("e0-" + i, i % 12, Role.values()[i % 3]);
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void mixedServerTakesItsShareWhole() {
+    void mixedEngineTakesItsShareOfWholeRequests() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("w0", 0, Role.DECODE)
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void drainedServerGetsNothing() {
+    void drainingEngineGetsNothing() {
         Fleet fleet = Fleet.pair().drain("r0").drain("w0");
         for (int i = 0; i < 8; i++) {
             assertEquals("r1", fleet.arrive("a" + i).engine());
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void coldServerGetsOnlyItsBudget() {
+    void engineInSlowStartGetsOnlyItsBudget() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("r1", 0, Role.PREFILL)
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void silentReaderIsLeftForTheOthers() {
+    void silentPrefillEngineIsLeftForTheOthers() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("r1", 0, Role.PREFILL)
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void failedListCallIsTriedAgain() {
+    void failedDiscoveryCallIsRetried() {
         Fleet fleet = Fleet.pair();
         fleet.handle(new RoutingEvent.EndpointsChanged(RoutingEvent.Scope.FAILED, List.of()));
         fleet.run(3);
@@ -288,7 +288,7 @@
 
     /** A cell with many readers and few writers must not leave another cell's writers idle. */
     @Test
-    void clearlyLessLoadedWriterElsewhereIsTaken() {
+    void clearlyLessLoadedDecodeEngineElsewhereIsTaken() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("w0", 0, Role.DECODE)
@@ -308,7 +308,7 @@
 
     /** A server that errs at once clears its count first; it must not draw the traffic. */
     @Test
-    void failingServerDrawsNoMoreThanItsPeers() {
+    void failingEngineGetsNoMoreThanItsPeers() {
         Fleet fleet = new Fleet()
                 .with("r0", 0, Role.PREFILL)
                 .with("r1", 0, Role.PREFILL)
@@ -330,7 +330,7 @@
 
     /** Every router tries a failing engine now and then: not with what is lost if it fails once more. */
     @Test
-    void trialsOfAFailingEngineGoToWhatMayBeRepeated() {
+    void probesOfAFailingEngineUseIdempotentRequests() {
         int safe = sentToAFailingEngine(Effect.SAFE);
         int unsafe = sentToAFailingEngine(Effect.UNSAFE);
         assertTrue(unsafe >= 2 && unsafe < safe, unsafe + " listings, " + safe + " lookups");
--- a/src/test/java/dunlinladder/transport/discovery/EndpointWatcherTest.java
+++ b/src/test/java/dunlinladder/transport/discovery/EndpointWatcherTest.java
@@ -18,13 +18,15 @@
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
+import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.awaitility.Awaitility;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -68,12 +70,8 @@
         assertEquals(version, applied.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static void await(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (!condition.getAsBoolean() && System.nanoTime() < end) {
-            Thread.sleep(5);
-        }
-        assertTrue(condition.getAsBoolean());
+    private static void awaitUntil(Callable<Boolean> condition) {
+        Awaitility.await().atMost(Duration.ofSeconds(PATIENCE_SECONDS)).until(condition);
     }
 
     @AfterEach
@@ -145,7 +143,7 @@
             next.answer("200 OK");
             next.send(update(42));
             assertApplied(42);
-            await(() -> !watcher.lastCallFailed());
+            awaitUntil(() -> !watcher.lastCallFailed());
         }
     }
 
@@ -185,11 +183,11 @@
             assertTrue(applying.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
             assertFalse(watcher.hasUnreadUpdate());
             call.send(update(43));
-            await(watcher::hasUnreadUpdate);
+            awaitUntil(watcher::hasUnreadUpdate);
             goOn.countDown();
             assertApplied(42);
             assertApplied(43);
-            await(() -> !watcher.hasUnreadUpdate());
+            awaitUntil(() -> !watcher.hasUnreadUpdate());
         }
     }
 
@@ -202,7 +200,7 @@
         try (StubDiscovery discovery = new StubDiscovery()) {
             EndpointWatcher watcher = watch(discovery, this::apply);
             watcher.moveTo(unused);
-            await(watcher::lastCallFailed);
+            awaitUntil(watcher::lastCallFailed);
         }
     }
 
