--- a/src/test/java/dunlinladder/it/ChatTest.java
+++ b/src/test/java/dunlinladder/it/ChatTest.java
@@ -5,55 +5,38 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The chat front of the running program, against stand-in engines. */
+/** The chat front of the running gateway, before stub engines. */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ChatTest {
 
-    private static final String KEY = "Authorization: Bearer secret\r\n";
+    private static final int MIXED_REQUESTS = 2000;
+    /** Words for the stubs; each block of ten requests takes the next. */
+    private static final String[] MIXED_FAULTS = {
+        "plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-decode", "plain", "pause"
+    };
 
-    @TempDir
-    private static Path folder;
+    @RegisterExtension
+    static final ChatGatewayExtension CHAT = new ChatGatewayExtension("");
 
-    private static Running running;
-
-    @BeforeAll
-    static void start() throws Exception {
-        Path state = folder.resolve("applied.json");
-        Files.writeString(state, """
-                {"serial":1,"settings":{"listen":"127.0.0.1:0","deadlines.listing":"0.8",
-                "keys.CHAT_KEY.tenant":"acme","models.find.class":"lookup",
-                "models.list.class":"listing"}}""");
-        running = new Running(Map.of("CHAT_KEY", "secret"), state);
-    }
-
-    @AfterAll
-    static void stop() throws Exception {
-        running.close();
-    }
-
-    private static Browser post(String model, boolean stream, String text) throws Exception {
-        return new Browser(running.chatPort)
+    private static TestClient post(String model, boolean stream, String text) throws Exception {
+        return CHAT.connect()
                 .send(
                         "POST",
                         "/v1/chat/completions",
-                        KEY,
+                        ChatGatewayExtension.BEARER_KEY,
                         "{\"model\":\"" + model
                                 + "\",\"stream\":" + stream
                                 + ",\"messages\":[{\"role\":\"system\",\"content\":\"Be brief.\"},"
@@ -62,10 +45,10 @@
 
     @Test
     void streamsChunksAndTheClosingEvent() throws Exception {
-        try (Browser browser = post("find", true, "plain")) {
-            assertTrue(browser.head());
-            assertEquals("text/event-stream", browser.headers.get("content-type"));
-            String[] events = browser.body().split("\n\n");
+        try (TestClient client = post("find", true, "plain")) {
+            assertTrue(client.readHead());
+            assertEquals("text/event-stream", client.headers.get("content-type"));
+            String[] events = client.readBody().split("\n\n");
             assertEquals(3, events.length);
             assertTrue(
                     events[0].matches("data: \\{\"id\":\"chatcmpl-[0-9a-f]+\",\"object\":\"chat.completion"
@@ -78,11 +61,11 @@
     }
 
     @Test
-    void answersWholeWhereNoStreamIsWanted() throws Exception {
-        try (Browser browser = post("list", false, "plain")) {
-            assertTrue(browser.head());
-            assertEquals(200, browser.status);
-            String body = browser.body();
+    void answersWholeWhenNoStreamIsWanted() throws Exception {
+        try (TestClient client = post("list", false, "plain")) {
+            assertTrue(client.readHead());
+            assertEquals(200, client.status);
+            String body = client.readBody();
             assertTrue(body.contains("\"object\":\"chat.completion\"")
                     && body.contains("\"content\":\"one two\"")
                     && body.contains("\"finish_reason\":\"stop\"")
@@ -97,21 +80,22 @@
         "list, false, unclosed, 502",
         "find, true, spoilt size, 200",
         "list, false, spoilt opening, 502",
-        "list, true, reset-writer, 502",
-        "list, true, hang-writer, 504",
-        "list, false, hang-reader, 429",
+        "list, true, reset-decode, 502",
+        "list, true, hang-decode, 504",
+        "list, false, hang-prefill, 429",
         "gone, true, plain, 404"
     })
-    void brokenAnswersAreNotPassedOffAsWhole(String model, boolean stream, String text, int status) throws Exception {
-        try (Browser browser = post(model, stream, text + " once")) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            String body = browser.body();
+    void reportsAnErrorWhenAnAnswerIsIncomplete(String model, boolean stream, String text, int status)
+            throws Exception {
+        try (TestClient client = post(model, stream, text + " once")) {
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            String body = client.readBody();
             assertTrue(body.contains("\"error\":{\"message\""), body);
             assertFalse(body.contains("[DONE]"), body);
             // Client libraries repeat a 5xx by themselves unless they are told not to.
-            assertEquals(status >= 500 ? "false" : null, browser.headers.get("X-Should-Retry"));
-            assertEquals(status == 429, browser.headers.containsKey("Retry-After"));
+            assertEquals(status >= 500 ? "false" : null, client.headers.get("X-Should-Retry"));
+            assertEquals(status == 429, client.headers.containsKey("Retry-After"));
         }
     }
 
@@ -128,67 +112,72 @@
                 "GET|/v1/engines|secret|x|404",
                 "POST|/v1/chat/completions|secret|long|413"
             })
-    void requestsAreChecked(String method, String target, String key, String body, int status) throws Exception {
-        try (Browser browser = new Browser(running.chatPort)
+    void validatesRequests(String method, String target, String key, String body, int status) throws Exception {
+        try (TestClient client = CHAT.connect()
                 .send(
                         method,
                         target,
                         "Authorization: Bearer " + key + "\r\n",
                         body.equals("long") ? "x".repeat(300_000) : body)) {
-            assertTrue(browser.head());
-            assertEquals(status, browser.status);
-            assertTrue(browser.body().contains(status == 200 ? "\"id\":\"find\"" : "\"error\":{"));
+            assertTrue(client.readHead());
+            assertEquals(status, client.status);
+            assertTrue(client.readBody().contains(status == 200 ? "\"id\":\"find\"" : "\"error\":{"));
         }
     }
 
-    /** Hard cases mixed: each client gets one terminal outcome, and no listing runs at a writer twice. */
+    /** Faults mixed: each client gets one terminal outcome, and no listing runs at a decode engine twice. */
     @Test
-    void twoThousandMixedRequests() throws Exception {
-        String[] kinds = {
-            "plain", "plain", "plain", "plain", "cut", "plain", "unclosed", "busy-writer", "plain", "pause"
-        };
+    void givesOneOutcomeToEachOfTwoThousandMixedRequests() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<String>> outcomes = new ArrayList<>();
-        for (int i = 0; i < 2000; i++) {
+        for (int i = 0; i < MIXED_REQUESTS; i++) {
             String model = i % 5 < 3 ? "find" : "list";
-            String kind = kinds[i / 10 % kinds.length];
-            String name = kind + "-" + model + "-" + i + ".";
-            boolean stream = kind.equals("pause") || i % 2 == 0;
-            outcomes.add(clients.submit(() -> outcome(model, stream, kind, name)));
+            String fault = MIXED_FAULTS[i / 10 % MIXED_FAULTS.length];
+            String name = fault + "-" + model + "-" + i + ".";
+            boolean stream = fault.equals("pause") || i % 2 == 0;
+            outcomes.add(clients.submit(() -> outcome(model, stream, fault, name)));
         }
-        Map<String, Integer> counts = new java.util.TreeMap<>();
+        Map<String, Integer> counts = new TreeMap<>();
         for (Future<String> outcome : outcomes) {
             counts.merge(outcome.get(), 1, Integer::sum);
         }
         clients.shutdown();
-        for (int i = 0; i < 2000; i++) {
+        for (int i = 0; i < MIXED_REQUESTS; i++) {
             String name = "-list-" + i + ".";
-            long ran = running.atWriters("POST", name)
-                    - (running.atWriters("POST", "busy-writer" + name) > 0
-                            ? running.writers.stream()
-                                    .filter(w -> w.count("POST", name) > 0)
-                                    .count()
-                            : 0);
+            long ran = runs(name);
             assertTrue(ran <= 1, name + " ran " + ran + " times");
         }
-        assertEquals(2000, counts.values().stream().mapToInt(n -> n).sum(), counts::toString);
+        assertEquals(
+                MIXED_REQUESTS,
+                counts.values().stream().mapToInt(Integer::intValue).sum(),
+                counts::toString);
         assertTrue(counts.getOrDefault("served", 0) > 500, counts::toString);
         assertTrue(counts.getOrDefault("broken", 0) > 50, counts::toString);
-        assertTrue(counts.getOrDefault("left", 0) > 50, counts::toString);
+        assertTrue(counts.getOrDefault("disconnected", 0) > 50, counts::toString);
+    }
+
+    /** How often decode engines ran a request; "busy" answers tell that it did not run. */
+    private static long runs(String name) {
+        return CHAT.gateway().decodeRequestCount("POST", name)
+                - (CHAT.gateway().decodeRequestCount("POST", "busy-decode" + name) > 0
+                        ? CHAT.gateway().decodeEngines.stream()
+                                .filter(engine -> engine.requestCount("POST", name) > 0)
+                                .count()
+                        : 0);
     }
 
-    private static String outcome(String model, boolean stream, String kind, String name) throws Exception {
-        try (Browser browser = post(model, stream, name)) {
-            assertTrue(browser.head(), name);
-            if (kind.equals("pause") && browser.status == 200) {
-                return "left";
+    private static String outcome(String model, boolean stream, String fault, String name) throws Exception {
+        try (TestClient client = post(model, stream, name)) {
+            assertTrue(client.readHead(), name);
+            if (fault.equals("pause") && client.status == 200) {
+                return "disconnected";
             }
-            String body = browser.body();
-            int done = body.split("data: \\[DONE]", -1).length - 1;
+            String body = client.readBody();
+            int endMarkers = body.split("data: \\[DONE]", -1).length - 1;
             int errors = body.split("\"error\":\\{", -1).length - 1;
-            if (browser.status == 200 && stream) {
-                assertEquals(1, done + errors, name + body);
-                assertEquals(kind.equals("cut") || kind.equals("unclosed") ? 1 : 0, errors, name);
+            if (client.status == 200 && stream) {
+                assertEquals(1, endMarkers + errors, name + body);
+                assertEquals(fault.equals("cut") || fault.equals("unclosed") ? 1 : 0, errors, name);
                 // Nothing may follow the terminal event.
                 assertTrue(
                         body.endsWith("\n\n")
@@ -196,23 +185,24 @@
                                         == Math.max(body.indexOf("data: [DONE]"), body.indexOf("data: {\"error\"")),
                         body);
             } else {
-                assertEquals(browser.status == 200 ? 0 : 1, errors, name);
+                assertEquals(client.status == 200 ? 0 : 1, errors, name);
             }
-            if (browser.status == 429) {
+            if (client.status == 429) {
                 return "refused";
             }
-            assertTrue(browser.status == 200 || browser.status == 502, name + browser.status);
+            assertTrue(client.status == 200 || client.status == 502, name + client.status);
             return errors > 0 ? "broken" : "served";
         }
     }
 
     @Test
-    void chatIsOffWithoutAppliedState() throws Exception {
-        try (Running plain = new Running(Map.of(), null);
-                Browser browser = new Browser(plain.port).send("GET", "/v1/models", KEY, "")) {
-            assertTrue(browser.head());
-            assertEquals(404, browser.status);
-            assertNull(browser.headers.get("Retry-After"));
+    void offersNoChatWithoutAppliedState() throws Exception {
+        try (RunningGateway platformOnly = RunningGateway.builder().start();
+                TestClient client = new TestClient(platformOnly.port)
+                        .send("GET", "/v1/models", ChatGatewayExtension.BEARER_KEY, "")) {
+            assertTrue(client.readHead());
+            assertEquals(404, client.status);
+            assertNull(client.headers.get("Retry-After"));
         }
     }
 }
--- a/src/test/java/dunlinladder/it/CrossingsTest.java
+++ b/src/test/java/dunlinladder/it/CrossingsTest.java
@@ -4,107 +4,83 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinladder.it.StandIn.Browser;
 import java.io.IOException;
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Queue;
 import java.util.Random;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes between two lines of the program, each crossing forced; docs/races.md lists them. */
+/** Races between the gateway and its peers, each order of events forced; docs/races.md lists them. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class CrossingsTest {
-
-    private final String id = Running.freshId();
-    private Running running;
-
-    @BeforeEach
-    void start() throws Exception {
-        running = new Running(Map.of(), null);
-    }
-
-    @AfterEach
-    void stop() throws Exception {
-        running.close();
-    }
-
-    private int plain(Browser browser, String request) throws IOException {
-        browser.send("POST", "/v1/chat/completions", Running.headers(request, "lookup", "4.0"), "plain");
-        assertTrue(browser.head());
-        browser.body();
-        return browser.status;
-    }
+class CrossingsTest extends PlatformGatewayFixture {
 
     /** Its end stands behind requests that are not read, and the one that was taken would run on unheard. */
     @ParameterizedTest
     @CsvSource({"0, false", "1, false", "2, false", "50, false", "2000, false", "0, true", "2, true", "50, true"})
-    void whoSendsMoreThanOneAndLeavesEndsItsAttempt(int more, boolean reset) throws Exception {
-        try (Browser hasty = running.post(id, "listing", "600.0", "hang-reader")) {
-            for (int i = 0; i < more; i++) {
-                hasty.send(
-                        "POST",
-                        "/v1/chat/completions",
-                        Running.headers(Running.freshId(), "listing", "600.0"),
-                        "hasty");
+    void abandonsTheAttemptWhenAPipeliningClientDisconnects(int pipelined, boolean byReset) throws Exception {
+        try (TestClient client = gateway.post(requestId, "listing", "600.0", "hang-prefill")) {
+            for (int i = 0; i < pipelined; i++) {
+                send(client, RunningGateway.nextRequestId(), "listing", "600.0", "pipelined");
             }
-            StandIn.until(() -> running.reader.count("POST", "hang-reader") == 1);
+            Await.until(() -> gateway.prefillEngine.requestCount("POST", "hang-prefill") == 1);
             // Served by the same thread, which has looked at what was sent here by then.
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, ask(running));
+                assertEquals(200, lookupStatus());
             }
-            if (reset) {
-                hasty.socket.setSoLinger(true, 0);
+            if (byReset) {
+                client.socket.setSoLinger(true, 0);
             }
         }
         // A read that takes long may have been given up and begun again before: none is out in the end.
-        StandIn.until(() -> running.releases(id) > 0
-                && running.reader.abandoned.size() == running.reader.count("POST", "hang-reader"));
-        assertEquals(0, running.reader.count("POST", "hasty"));
+        Await.until(() -> gateway.releaseCount(requestId) > 0
+                && gateway.prefillEngine.abandonedRequests.size()
+                        == gateway.prefillEngine.requestCount("POST", "hang-prefill"));
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "pipelined"));
     }
 
     /**
-     * The other half of a request comes once the gateway has been told to end and has closed what rests: it is refused,
-     * which is honest, as no engine has seen it; taken, it might be open at the kill. A program that did not wait for
-     * it would have ended long before the time that is waited here.
+     * The other half of a request comes once the gateway has been told to end and has closed idle connections: it is
+     * refused, which is honest, as no engine has seen it; taken, it might be open at the kill. A gateway that did not
+     * wait for it would have ended long before the time that is waited here.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 60, 520})
-    void aRequestThatIsHalfHereAtTheEndIsAnswered(int before) throws Exception {
-        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Running.headers(id, "lookup", "4.0")
-                + "Content-Length: 400\r\n\r\n" + "x".repeat(400);
-        try (Browser slow = new Browser(running.port);
-                Browser resting = new Browser(running.port);
-                Browser up = new Browser(running.port)) {
-            assertEquals(200, plain(resting, Running.freshId()));
-            running.process.destroy();
+    void answersARequestThatIsHalfReceivedAtTermination(int bytesBefore) throws Exception {
+        String request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+                + RunningGateway.platformHeaders(requestId, "lookup", "4.0") + "Content-Length: 400\r\n\r\n"
+                + "x".repeat(400);
+        try (TestClient slow = new TestClient(gateway.port);
+                TestClient idle = new TestClient(gateway.port);
+                TestClient up = new TestClient(gateway.port)) {
+            assertEquals(200, lookupStatus(idle));
+            gateway.process.destroy();
             do {
                 up.send("GET", "/up", "", "");
-                assertTrue(up.head());
-                up.body();
+                assertTrue(up.readHead());
+                up.readBody();
             } while (up.status == 200);
-            slow.socket.getOutputStream().write(request.substring(0, before).getBytes());
-            assertFalse(resting.head(), "a resting connection closes");
-            assertFalse(running.process.waitFor(400, TimeUnit.MILLISECONDS));
-            slow.socket.getOutputStream().write(request.substring(before).getBytes());
-            assertTrue(slow.head());
+            slow.socket
+                    .getOutputStream()
+                    .write(request.substring(0, bytesBefore).getBytes());
+            assertFalse(idle.readHead(), "an idle connection closes");
+            assertFalse(gateway.process.waitFor(400, TimeUnit.MILLISECONDS));
+            slow.socket.getOutputStream().write(request.substring(bytesBefore).getBytes());
+            assertTrue(slow.readHead());
             assertEquals(503, slow.status);
             assertEquals("close", slow.headers.get("Connection"));
-            slow.body();
-            assertFalse(slow.head());
+            slow.readBody();
+            assertFalse(slow.readHead());
         }
-        assertEquals(0, running.process.waitFor());
-        assertEquals(0, running.reader.count("POST", "xxx"));
+        assertEquals(0, gateway.process.waitFor());
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "xxx"));
     }
 
     /**
@@ -112,102 +88,104 @@
      * request as soon as it has the last chunk. Taken, it would be lost where engines hang until the kill.
      */
     @Test
-    void aStreamThatEndsAfterTheEndWasToldTakesItsConnectionAlong() throws Exception {
-        List<Browser> streaming = new ArrayList<>();
-        try (Browser resting = new Browser(running.port)) {
-            assertEquals(200, plain(resting, Running.freshId()));
+    void closesTheConnectionWhenAStreamEndsAfterTermination() throws Exception {
+        List<TestClient> streaming = new ArrayList<>();
+        try (TestClient idle = new TestClient(gateway.port)) {
+            assertEquals(200, lookupStatus(idle));
             for (int i = 0; i < 8; i++) {
-                Browser browser = running.post(Running.freshId(), "listing", "9.0", "in steps");
-                streaming.add(browser);
-                assertTrue(browser.head());
+                TestClient client = gateway.post(RunningGateway.nextRequestId(), "listing", "9.0", "in steps");
+                streaming.add(client);
+                assertTrue(client.readHead());
             }
-            running.process.destroy();
-            assertFalse(resting.head(), "a resting connection closes");
-            running.writers.forEach(w -> w.eventsSeen = 20);
-            for (Browser each : streaming) {
-                assertTrue(each.body().endsWith("[DONE]\n\n"));
+            gateway.process.destroy();
+            assertFalse(idle.readHead(), "an idle connection closes");
+            gateway.confirmEvents(20);
+            for (TestClient each : streaming) {
+                assertTrue(each.readBody().endsWith("[DONE]\n\n"));
                 try {
-                    each.send(
-                            "POST",
-                            "/v1/chat/completions",
-                            Running.headers(Running.freshId(), "listing", "9.0"),
-                            "next");
-                    assertFalse(each.head());
+                    send(each, RunningGateway.nextRequestId(), "listing", "9.0", "next");
+                    assertFalse(each.readHead());
                 } catch (SocketException e) {
                     // A reset is an end too.
                 }
             }
         }
-        assertEquals(0, running.process.waitFor());
-        assertEquals(0, running.reader.count("POST", "next"));
+        assertEquals(0, gateway.process.waitFor());
+        assertEquals(0, gateway.prefillEngine.requestCount("POST", "next"));
     }
 
     /**
-     * Requests come on resting connections all through the moments in which these are closed: each is answered whole,
-     * or its connection ends and no engine has seen it, so that its client may send it again.
+     * Requests come on idle connections all through the moments in which these are closed: each is answered whole, or
+     * its connection ends and no engine has seen it, so that its client may send it again.
      */
     @Test
-    void aRequestInTheMomentOfACloseIsAnsweredOrNeverSentOn() throws Exception {
-        Random random = new Random(7);
-        List<Thread> clients = new ArrayList<>();
-        Queue<String> lost = new ConcurrentLinkedQueue<>();
-        List<Browser> browsers = new ArrayList<>();
+    void answersOrNeverForwardsARequestThatRacesWithAClose() throws Exception {
+        // Given clients with idle connections
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-            Browser browser = new Browser(running.port);
-            assertEquals(200, plain(browser, Running.freshId()));
-            browsers.add(browser);
-        }
-        running.process.destroy();
-        long from = System.nanoTime();
-        for (Browser browser : browsers) {
-            long at = from + (long) ((0.55 + random.nextDouble() * 0.15) * 1e9);
-            String own = Running.freshId();
-            Thread client = new Thread(() -> {
-                while (System.nanoTime() < at) {
-                    Thread.onSpinWait();
-                }
-                try (browser) {
-                    browser.send("POST", "/v1/chat/completions", Running.headers(own, "lookup", "4.0"), "moment");
-                    if (browser.head() && browser.body().endsWith("[DONE]\n\n")) {
-                        return;
-                    }
-                } catch (IOException e) {
-                    // A reset is an end too.
-                }
-                if (running.reader.seen.stream()
-                        .anyMatch(s -> own.equals(s.headers().get("X-Request-ID")))) {
-                    lost.add(own);
-                }
-            });
-            client.start();
+            TestClient client = new TestClient(gateway.port);
+            assertEquals(200, lookupStatus(client));
             clients.add(client);
         }
-        for (Thread client : clients) {
-            client.join();
+        // When each sends at its own moment, all through those in which the gateway closes them
+        gateway.process.destroy();
+        long terminated = System.nanoTime();
+        Random random = new Random(7);
+        Queue<String> lostRequests = new ConcurrentLinkedQueue<>();
+        List<Thread> threads = new ArrayList<>();
+        for (TestClient client : clients) {
+            long sendAt = terminated + (long) ((0.55 + random.nextDouble() * 0.15) * 1e9);
+            Thread thread = new Thread(() -> sendAt(sendAt, client, lostRequests));
+            thread.start();
+            threads.add(thread);
+        }
+        for (Thread thread : threads) {
+            thread.join();
+        }
+        // Then none was lost
+        assertEquals(0, gateway.process.waitFor());
+        assertEquals(List.of(), List.copyOf(lostRequests));
+    }
+
+    /** Sends at a value of the nano clock; a request that an engine received and that has no whole answer is lost. */
+    private void sendAt(long sendAtNanos, TestClient idle, Queue<String> lostRequests) {
+        String ownId = RunningGateway.nextRequestId();
+        while (System.nanoTime() < sendAtNanos) {
+            Thread.onSpinWait();
+        }
+        try (idle) {
+            send(idle, ownId, "lookup", "4.0", "moment");
+            if (idle.readHead() && idle.readBody().endsWith("[DONE]\n\n")) {
+                return;
+            }
+        } catch (IOException e) {
+            // A reset is an end too.
+        }
+        if (gateway.prefillEngine.receivedRequests.stream()
+                .anyMatch(request -> ownId.equals(request.headers().get("X-Request-ID")))) {
+            lostRequests.add(ownId);
         }
-        assertEquals(0, running.process.waitFor());
-        assertEquals(List.of(), List.copyOf(lost));
     }
 
     /** No event waits for the next one: each is written once the client has seen the one before. */
     @Test
-    void eachEventIsPassedOnBeforeTheNextIsWritten() throws Exception {
-        try (Browser browser = running.post(id, "listing", "9.0", "in steps")) {
-            assertTrue(browser.head());
+    void forwardsEachEventBeforeTheNextIsWritten() throws Exception {
+        try (TestClient client = gateway.post(requestId, "listing", "9.0", "in steps")) {
+            assertTrue(client.readHead());
             StringBuilder seen = new StringBuilder();
             for (int i = 1; i < 20; i++) {
-                String event = i == 1 ? StandIn.delta("one", "null") : StandIn.delta("step " + (i - 1), "null");
+                String event = i == 1 ? StubAnswer.delta("one", "null") : StubAnswer.delta("step " + (i - 1), "null");
                 while (!seen.toString().endsWith(event)) {
-                    int next = browser.socket.getInputStream().read();
+                    int next = client.socket.getInputStream().read();
                     assertTrue(next >= 0, "ended after " + seen);
                     seen.append(next == '\r' ? "" : (char) next);
                 }
                 int number = i;
-                running.writers.forEach(w -> w.eventsSeen = number);
+                gateway.confirmEvents(number);
             }
             // The end of the chunk that was read byte by byte.
-            assertEquals("", StandIn.SimulatorCodec.line(browser.socket.getInputStream()));
-            assertTrue(browser.body().endsWith("[DONE]\n\n"));
+            assertEquals("", RawHttp.readLine(client.socket.getInputStream()));
+            assertTrue(client.readBody().endsWith("[DONE]\n\n"));
         }
     }
 
@@ -216,48 +194,41 @@
      * its return its news is heard, engines are reached and later clients served.
      */
     @Test
-    void descriptorsTakenWhileDiscoveryIsDownCostNobodyElse() throws Exception {
-        List<Browser> idle = new ArrayList<>();
-        try (Running narrow = Running.withDescriptors(256)) {
-            StandIn.until(() -> narrow.discovery.seen.size() == 1);
-            narrow.discovery.silent = true;
-            narrow.discovery.dropConnections();
-            StandIn.until(() -> narrow.discovery.seen.size() >= 2);
+    void servesOthersWhenIdleClientsTakeDescriptorsWhileDiscoveryIsDown() throws Exception {
+        List<TestClient> idleClients = new ArrayList<>();
+        try (RunningGateway limited =
+                RunningGateway.builder().descriptorLimit(256).start()) {
+            Await.until(() -> limited.discovery.receivedRequests.size() == 1);
+            limited.discovery.setUnresponsive(true);
+            limited.discovery.closeConnections();
+            Await.until(() -> limited.discovery.receivedRequests.size() >= 2);
             for (int i = 0; i < 600; i++) {
-                Browser browser = new Browser(narrow.port);
-                idle.add(browser);
+                TestClient client = new TestClient(limited.port);
+                idleClients.add(client);
                 if (i % 3 == 0) {
-                    browser.socket.getOutputStream().write("POST /v1/chat".getBytes());
+                    client.socket.getOutputStream().write("POST /v1/chat".getBytes());
                 }
             }
-            assertEquals(200, ask(narrow));
-            narrow.discovery.tell("{\"seq\":2,\"whole\":false,\"hosts\":["
-                    + Running.host(narrow.writers.get(0), "answer", "leaving") + ","
-                    + Running.host(narrow.writers.get(1), "answer", "leaving") + "]}");
-            narrow.discovery.silent = false;
-            while (ask(narrow) == 200) {
+            assertEquals(200, lookupStatus(limited));
+            limited.discovery.publish(RunningGateway.decodeDelta(
+                    2, "leaving", limited.decodeEngines.get(0), limited.decodeEngines.get(1)));
+            limited.discovery.setUnresponsive(false);
+            while (lookupStatus(limited) == 200) {
                 Thread.yield();
             }
-            narrow.discovery.tell("{\"seq\":3,\"whole\":false,\"hosts\":["
-                    + Running.host(narrow.writers.get(0), "answer", "active") + "]}");
-            while (ask(narrow) != 200) {
+            limited.discovery.publish(RunningGateway.decodeDelta(3, "active", limited.decodeEngines.get(0)));
+            while (lookupStatus(limited) != 200) {
                 Thread.yield();
             }
             assertEquals(
                     0,
-                    narrow.lines.stream()
-                            .filter(l -> l.contains("Too many open files"))
+                    limited.logLines.stream()
+                            .filter(line -> line.contains("Too many open files"))
                             .count());
         } finally {
-            for (Browser each : idle) {
+            for (TestClient each : idleClients) {
                 each.close();
             }
         }
     }
-
-    private int ask(Running gateway) throws IOException {
-        try (Browser browser = new Browser(gateway.port)) {
-            return plain(browser, Running.freshId());
-        }
-    }
 }
