--- a/src/test/java/dunlinladder/it/PlatformGatewayFixture.java
+++ b/src/test/java/dunlinladder/it/PlatformGatewayFixture.java
@@ -34,6 +34,10 @@
     /** Sends a plain lookup with a new id on the connection and reads its whole answer; returns the status. */
     static int lookupStatus(TestClient client) throws IOException {
         send(client, RunningGateway.nextRequestId(), "lookup", "4.0", "plain");
+        return statusOfWholeAnswer(client);
+    }
+
+    private static int statusOfWholeAnswer(TestClient client) throws IOException {
         assertTrue(client.readHead());
         assertFalse(client.readBody().endsWith("(cut)"), "an answer to a plain request is whole");
         return client.status;
@@ -41,8 +45,8 @@
 
     /** Sends a plain lookup on a new connection; returns the status. */
     static int lookupStatus(RunningGateway gateway) throws IOException {
-        try (TestClient client = new TestClient(gateway.port)) {
-            return lookupStatus(client);
+        try (TestClient client = gateway.post(RunningGateway.nextRequestId(), "lookup", "4.0", "plain")) {
+            return statusOfWholeAnswer(client);
         }
     }
 
